--- a/AK/Clock.cpp
+++ b/AK/Clock.cpp
@@ -20,6 +20,6 @@
     return time_point(since_start + Duration(suspended_in_test.load(std::memory_order_relaxed)));
 }
 
-void BootClock::pass_suspended(Duration span) noexcept { suspended_in_test += span.count(); }
+void BootClock::simulate_suspension(Duration span) noexcept { suspended_in_test += span.count(); }
 
 }
--- a/AK/Types.h
+++ b/AK/Types.h
@@ -63,7 +63,7 @@
 
     static time_point now() noexcept;
     /// For tests: lets so much time pass at once for this process, as a suspension of the machine does.
-    static void pass_suspended(Duration span) noexcept;
+    static void simulate_suspension(Duration span) noexcept;
 };
 
 /// Monotonic time since an arbitrary start: the loop's clock in daemons, virtual time in the bench.
--- a/Tests/LibCore/TestBootClock.cpp
+++ b/Tests/LibCore/TestBootClock.cpp
@@ -38,7 +38,7 @@
         CHECK(!is_due);
         WHEN("the machine is suspended for an hour")
         {
-            AK::BootClock::pass_suspended(1h);
+            AK::BootClock::simulate_suspension(1h);
             THEN("it is due as the machine goes on, though the loop's own sleep is not over")
             {
                 loop.restart();
