--- a/AK/Timer.h
+++ b/AK/Timer.h
@@ -15,9 +15,9 @@
 /// The loop sleeps by a clock that stands still while the machine is suspended; it wakes so often to see whether a
 /// timer was due meanwhile.
 struct BootWaitTraits {
-    static constexpr Duration longest_sleep = 100ms;
+    static constexpr Duration max_sleep = 100ms;
 
-    static Duration to_wait_duration(Duration const& duration) { return std::min(duration, longest_sleep); }
+    static Duration to_wait_duration(Duration const& duration) { return std::min(duration, max_sleep); }
     static Duration to_wait_duration(Instant const& instant) { return to_wait_duration(instant - BootClock::now()); }
 };
 
