--- a/Libraries/LibCore/EventCatalogue.cpp
+++ b/Libraries/LibCore/EventCatalogue.cpp
@@ -74,7 +74,7 @@
     { CallerLeft, "caller_left", Information },
     { CallerConnectionClosed, "caller_connection_closed", Information },
     { RepeatDecided, "repeat_decided", Information },
-    { RequestHeldBack, "request_held_back", Warning },
+    { RequestQuarantined, "request_held_back", Warning },
     { RequestReleased, "request_released", Information },
     { LeaseTaken, "lease_taken", Information },
     { LeaseLapsed, "lease_lapsed", Warning },
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -74,7 +74,7 @@
     CallerLeft = 2405,
     CallerConnectionClosed = 2406,
     RepeatDecided = 2407,
-    RequestHeldBack = 2408,
+    RequestQuarantined = 2408,
     RequestReleased = 2409,
     LeaseTaken = 2501,
     LeaseLapsed = 2502,
--- a/Libraries/LibServing/RequestEnds.cpp
+++ b/Libraries/LibServing/RequestEnds.cpp
@@ -22,7 +22,7 @@
     if (change != Quarantine::Change::Held)
         return;
     context.metrics.add("requests_quarantined_total");
-    context.log.event(Core::EventNumber::RequestHeldBack, to_text(request))
+    context.log.event(Core::EventNumber::RequestQuarantined, to_text(request))
         .with("organisation", request.organisation)
         .with("servers", context.quarantine.all().at(request).ended.size())
         .with("held_ms", context.quarantine.held_for(request, context.now()).value_or(0s));
