--- a/AK/Error.cpp
+++ b/AK/Error.cpp
@@ -53,7 +53,7 @@
         return "not_ready";
     case ErrorKind::HistoryLost:
         return "history_lost";
-    case ErrorKind::RequestHeld:
+    case ErrorKind::RequestQuarantined:
         return "request_held";
     case ErrorKind::FencedOut:
         return "fenced_out";
--- a/AK/Error.h
+++ b/AK/Error.h
@@ -38,7 +38,7 @@
     NotReady,
     FencedOut,
     HistoryLost,
-    RequestHeld,
+    RequestQuarantined,
 };
 
 std::string_view to_string(ErrorKind);
--- a/Libraries/LibGateway/CallerProtocol.cpp
+++ b/Libraries/LibGateway/CallerProtocol.cpp
@@ -166,7 +166,7 @@
     case ErrorKind::PeerUnavailable:
     case ErrorKind::NotReady:
     case ErrorKind::HistoryLost:
-    case ErrorKind::RequestHeld:
+    case ErrorKind::RequestQuarantined:
         return 503;
     }
     return 500;
--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -217,8 +217,8 @@
     {
         this->context.metrics.add("requests_held_back_total");
         this->answer_error(
-            { ErrorKind::RequestHeld, "servers have ended under this request each time; do not send it again unchanged",
-                left },
+            { ErrorKind::RequestQuarantined,
+                "servers have ended under this request each time; do not send it again unchanged", left },
             Conclusion::NotRun);
     }
 
