--- a/Libraries/LibCore/EventCatalogue.cpp
+++ b/Libraries/LibCore/EventCatalogue.cpp
@@ -28,7 +28,7 @@
     { MemberLost, "member_lost", Warning },
     { MemberReplaced, "member_replaced", Information },
     { FailureDomainSilent, "failure_domain_silent", Warning },
-    { FailureDomainHeard, "failure_domain_heard", Information },
+    { FailureDomainReachable, "failure_domain_heard", Information },
     { RevisionInForce, "revision_in_force", Information },
     { ChangeAccepted, "change_accepted", Information },
     { ChangeRefused, "change_refused", Warning },
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -28,7 +28,7 @@
     MemberLost = 1103,
     MemberReplaced = 1104,
     FailureDomainSilent = 1105,
-    FailureDomainHeard = 1106,
+    FailureDomainReachable = 1106,
     RevisionInForce = 1201,
     ChangeAccepted = 1202,
     ChangeRefused = 1203,
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -335,7 +335,7 @@
             }
         };
         note(silent, this->silent_domains, Core::EventNumber::FailureDomainSilent);
-        note(this->silent_domains, silent, Core::EventNumber::FailureDomainHeard);
+        note(this->silent_domains, silent, Core::EventNumber::FailureDomainReachable);
         this->silent_domains = std::move(silent);
     }
 
