--- a/Libraries/LibCore/EventCatalogue.cpp
+++ b/Libraries/LibCore/EventCatalogue.cpp
@@ -66,7 +66,7 @@
     { BackendServerBrokeOff, "backend_server_broke_off", Warning },
     { ServerLimitChanged, "server_limit_changed", Warning },
     { ServerAskedForBackOff, "server_asked_for_back_off", Warning },
-    { ServerSaidItLeaves, "server_said_it_leaves", Information },
+    { ServerAnnouncedLeaving, "server_said_it_leaves", Information },
     { ServiceCallDispatched, "service_call_dispatched", Information },
     { ServiceCallEnded, "service_call_ended", Information },
     { ClaimRefused, "claim_refused", Warning },
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -66,7 +66,7 @@
     BackendServerBrokeOff = 2312,
     ServerLimitChanged = 2313,
     ServerAskedForBackOff = 2314,
-    ServerSaidItLeaves = 2315,
+    ServerAnnouncedLeaving = 2315,
     ServiceCallDispatched = 2401,
     ServiceCallEnded = 2402,
     ClaimRefused = 2403,
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -29,7 +29,7 @@
 {
     if (backend.has_said_it_leaves)
         return;
-    context.log.event(Core::EventNumber::ServerSaidItLeaves, backend.server.id.value())
+    context.log.event(Core::EventNumber::ServerAnnouncedLeaving, backend.server.id.value())
         .with("state", to_string(backend.availability))
         .with("own_generations", backend.engine.own_generations);
     // Where the list has said so before, the other hosts know.
