--- a/Libraries/LibCore/EventCatalogue.cpp
+++ b/Libraries/LibCore/EventCatalogue.cpp
@@ -63,7 +63,7 @@
     { ServicesOutOfReach, "services_out_of_reach", Warning },
     { DomainEvacuated, "domain_evacuated", Warning },
     { DomainEvacuationTakenBack, "domain_evacuation_taken_back", Information },
-    { BackendServerBrokeOff, "backend_server_broke_off", Warning },
+    { BackendServerDisconnected, "backend_server_broke_off", Warning },
     { ServerLimitChanged, "server_limit_changed", Warning },
     { ServerAskedForBackOff, "server_asked_for_back_off", Warning },
     { ServerAnnouncedLeaving, "server_said_it_leaves", Information },
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -63,7 +63,7 @@
     ServicesOutOfReach = 2309,
     DomainEvacuated = 2310,
     DomainEvacuationTakenBack = 2311,
-    BackendServerBrokeOff = 2312,
+    BackendServerDisconnected = 2312,
     ServerLimitChanged = 2313,
     ServerAskedForBackOff = 2314,
     ServerAnnouncedLeaving = 2315,
--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -191,7 +191,7 @@
         bool const is_expected = backend->availability != Availability::Serving;
         auto asked = [&context = this->context, backend, is_expected, attempt = this->attempt(),
                          fingerprint = this->call.fingerprint, reason = std::string(reason)](ProcessState state) {
-            context.log.event(Core::EventNumber::BackendServerBrokeOff, backend->server.id.value())
+            context.log.event(Core::EventNumber::BackendServerDisconnected, backend->server.id.value())
                 .with("request", attempt)
                 .with("fingerprint", to_text(fingerprint))
                 .with("process", to_string(state))
