--- a/Libraries/LibCore/EventCatalogue.cpp
+++ b/Libraries/LibCore/EventCatalogue.cpp
@@ -65,7 +65,7 @@
     { DomainEvacuationTakenBack, "domain_evacuation_taken_back", Information },
     { BackendServerDisconnected, "backend_server_broke_off", Warning },
     { ServerLimitChanged, "server_limit_changed", Warning },
-    { ServerAskedForBackOff, "server_asked_for_back_off", Warning },
+    { ServerRequestedBackOff, "server_asked_for_back_off", Warning },
     { ServerAnnouncedLeaving, "server_said_it_leaves", Information },
     { ServiceCallDispatched, "service_call_dispatched", Information },
     { ServiceCallEnded, "service_call_ended", Information },
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -65,7 +65,7 @@
     DomainEvacuationTakenBack = 2311,
     BackendServerDisconnected = 2312,
     ServerLimitChanged = 2313,
-    ServerAskedForBackOff = 2314,
+    ServerRequestedBackOff = 2314,
     ServerAnnouncedLeaving = 2315,
     ServiceCallDispatched = 2401,
     ServiceCallEnded = 2402,
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -20,7 +20,7 @@
     bool const is_news = until - backend.back_off_until >= shortest_logged_extension;
     backend.back_off_until = until;
     if (is_news)
-        context.log.event(Core::EventNumber::ServerAskedForBackOff, backend.server.id.value())
+        context.log.event(Core::EventNumber::ServerRequestedBackOff, backend.server.id.value())
             .with("asked_ms", asked)
             .with("back_off_ms", backend.back_off_left(context.now()));
 }
