--- a/Libraries/LibCore/EventCatalogue.cpp
+++ b/Libraries/LibCore/EventCatalogue.cpp
@@ -60,7 +60,7 @@
     { BackendServerChanged, "backend_server_changed", Information },
     { BackendServerGone, "backend_server_gone", Information },
     { BackendServerSuspected, "backend_server_suspected", Warning },
-    { ServicesOutOfReach, "services_out_of_reach", Warning },
+    { ServicesUnreachable, "services_out_of_reach", Warning },
     { DomainEvacuated, "domain_evacuated", Warning },
     { DomainEvacuationTakenBack, "domain_evacuation_taken_back", Information },
     { BackendServerDisconnected, "backend_server_broke_off", Warning },
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -60,7 +60,7 @@
     BackendServerChanged = 2306,
     BackendServerGone = 2307,
     BackendServerSuspected = 2308,
-    ServicesOutOfReach = 2309,
+    ServicesUnreachable = 2309,
     DomainEvacuated = 2310,
     DomainEvacuationTakenBack = 2311,
     BackendServerDisconnected = 2312,
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -349,7 +349,7 @@
         if (lost == this->out_of_reach)
             return;
         this->out_of_reach = std::move(lost);
-        this->log.event(Core::EventNumber::ServicesOutOfReach, this->settings.host.value())
+        this->log.event(Core::EventNumber::ServicesUnreachable, this->settings.host.value())
             .with("services", this->out_of_reach.size())
             .with("first", this->out_of_reach.empty() ? ServiceName("none") : this->out_of_reach.front());
     }
