--- a/Libraries/LibCore/EventCatalogue.cpp
+++ b/Libraries/LibCore/EventCatalogue.cpp
@@ -62,7 +62,7 @@
     { BackendServerSuspected, "backend_server_suspected", Warning },
     { ServicesUnreachable, "services_out_of_reach", Warning },
     { DomainEvacuated, "domain_evacuated", Warning },
-    { DomainEvacuationTakenBack, "domain_evacuation_taken_back", Information },
+    { DomainEvacuationRevoked, "domain_evacuation_taken_back", Information },
     { BackendServerDisconnected, "backend_server_broke_off", Warning },
     { ServerLimitChanged, "server_limit_changed", Warning },
     { ServerRequestedBackOff, "server_asked_for_back_off", Warning },
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -62,7 +62,7 @@
     BackendServerSuspected = 2308,
     ServicesUnreachable = 2309,
     DomainEvacuated = 2310,
-    DomainEvacuationTakenBack = 2311,
+    DomainEvacuationRevoked = 2311,
     BackendServerDisconnected = 2312,
     ServerLimitChanged = 2313,
     ServerRequestedBackOff = 2314,
--- a/Libraries/LibServing/Evacuations.cpp
+++ b/Libraries/LibServing/Evacuations.cpp
@@ -58,7 +58,7 @@
         static_cast<double>(
             std::ranges::count_if(this->words, [](auto const& entry) { return entry.second.is_in_force; })));
     auto const event
-        = word.is_in_force ? Core::EventNumber::DomainEvacuated : Core::EventNumber::DomainEvacuationTakenBack;
+        = word.is_in_force ? Core::EventNumber::DomainEvacuated : Core::EventNumber::DomainEvacuationRevoked;
     this->context.log.event(event, domain.value())
         .with("row_version", word.version)
         .with("backends", this->context.backends.count_in(domain))
