--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -85,7 +85,7 @@
 };
 
 /// Changes of a table, as one process tells them to others that do not read it themselves.
-struct TableNews {
+struct TableUpdate {
     /// Version of the newest change before these.
     u64 previous_change { 0 };
     ChangePage page;
@@ -97,7 +97,7 @@
     std::function<void(std::vector<Row>, u64 version)> listed;
     std::function<void(std::vector<RowChange>, u64 version)> changed;
     /// Changes that the platform itself has told, for others. After `changed`.
-    std::function<void(TableNews const&)> told { [](TableNews const&) {} };
+    std::function<void(TableUpdate const&)> told { [](TableUpdate const&) {} };
     /// Changes after this version, which others know, have not come: they may be asked for them.
     std::function<void(u64 known_version)> missed { [](u64) {} };
     /// The first failed call after a good one, and the first good one after a failure.
@@ -145,7 +145,7 @@
     }
 
     /// Changes from elsewhere.
-    void hear(TableNews news)
+    void hear(TableUpdate news)
     {
         if (!this->is_listed || news.page.version <= this->known_version)
             return;
@@ -223,7 +223,7 @@
         });
     }
 
-    void take_news(TableNews news)
+    void take_news(TableUpdate news)
     {
         std::erase_if(
             news.page.changes, [this](RowChange const& change) { return change.row.version <= this->known_version; });
@@ -234,7 +234,7 @@
     }
 
     /// News that come by different ways may overtake each other. Those that came too early wait for what they follow.
-    void keep_early(TableNews news)
+    void keep_early(TableUpdate news)
     {
         auto const version = news.page.version;
         if (this->early_news.size() < most_early_news)
@@ -246,9 +246,9 @@
     {
         while (true) {
             std::erase_if(
-                this->early_news, [this](TableNews const& news) { return news.page.version <= this->known_version; });
+                this->early_news, [this](TableUpdate const& news) { return news.page.version <= this->known_version; });
             auto next = std::ranges::find_if(this->early_news,
-                [this](TableNews const& news) { return news.previous_change <= this->known_version; });
+                [this](TableUpdate const& news) { return news.previous_change <= this->known_version; });
             if (next == this->early_news.end())
                 return;
             auto news = std::move(*next);
@@ -323,7 +323,7 @@
 
     void take(ChangePage page)
     {
-        TableNews const news { this->newest_change, page };
+        TableUpdate const news { this->newest_change, page };
         this->note_last_change(page);
         this->observer.changed(std::move(page.changes), this->known_version);
         this->observer.told(news);
@@ -392,7 +392,7 @@
     bool is_pausing { false };
     /// Changes that others know are awaited from them.
     bool is_patient { false };
-    std::vector<TableNews> early_news;
+    std::vector<TableUpdate> early_news;
     bool reachable { true };
 };
 
--- a/Libraries/LibServing/NewsExchange.h
+++ b/Libraries/LibServing/NewsExchange.h
@@ -32,7 +32,7 @@
     /// This host has read changes of a table. One host of the domain passes them on. A further one that reads too is
     /// there for when that one fails: until it takes over, the others learn from whole messages that they have missed
     /// something.
-    void tell(std::string_view table, Platform::TableNews const& news)
+    void tell(std::string_view table, Platform::TableUpdate const& news)
     {
         wire::PlatformNews message;
         message.set_table(std::string(table));
@@ -66,7 +66,7 @@
         if (message.recovery_left_milliseconds() > 0)
             this->backends.platform_regained(std::chrono::milliseconds(message.recovery_left_milliseconds()));
         this->logs[message.table()].add(message);
-        Platform::TableNews news;
+        Platform::TableUpdate news;
         news.previous_change = message.previous_change();
         news.page.version = message.version();
         news.page.changes = std::move(rows.value());
