--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -326,7 +326,7 @@
         TableUpdate const news { this->newest_change, page };
         this->note_last_change(page);
         this->observer.changed(std::move(page.changes), this->known_version);
-        this->observer.told(news);
+        this->observer.fetched(news);
     }
 
     void note_last_change(ChangePage const& page)
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -192,7 +192,7 @@
         };
         observer.changed
             = [this](std::vector<Platform::RowChange> const& changes, u64) { this->operator_table.changed(changes); };
-        observer.told = [this](Platform::TableUpdate const& news) { this->news.tell(P::configuration_table, news); };
+        observer.fetched = [this](Platform::TableUpdate const& news) { this->news.tell(P::configuration_table, news); };
         observer.missed = [this](u64 version) { this->news.ask_others(P::configuration_table, version); };
         return observer;
     }
@@ -214,7 +214,7 @@
             for (auto const& change : changes)
                 this->take_backend(change);
         };
-        observer.told = [this](Platform::TableUpdate const& news) { this->news.tell(P::backend_table, news); };
+        observer.fetched = [this](Platform::TableUpdate const& news) { this->news.tell(P::backend_table, news); };
         observer.missed = [this](u64 version) { this->news.ask_others(P::backend_table, version); };
         observer.may_retry = [this] { return this->configuration_follower.is_reachable(); };
         return observer;
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -67,7 +67,7 @@
         for (auto const& one : changes)
             seen.push_back(one.row.key);
     };
-    observer.told = [&](TableUpdate const& news) { told.push_back(news.previous_change); };
+    observer.fetched = [&](TableUpdate const& news) { told.push_back(news.previous_change); };
     observer.lost = [&](Error const&) { ++lost; };
     observer.regained = [&] { ++regained; };
     bool may_retry = true;
