--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -97,7 +97,7 @@
     std::function<void(std::vector<Row>, u64 version)> listed;
     std::function<void(std::vector<RowChange>, u64 version)> changed;
     /// Changes that the platform itself has told, for others. After `changed`.
-    std::function<void(TableUpdate const&)> told { [](TableUpdate const&) {} };
+    std::function<void(TableUpdate const&)> fetched { [](TableUpdate const&) {} };
     /// Changes after this version, which others know, have not come: they may be asked for them.
     std::function<void(u64 known_version)> missed { [](u64) {} };
     /// The first failed call after a good one, and the first good one after a failure.
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -57,7 +57,7 @@
     boost::asio::io_context loop;
     HandSource source;
     std::vector<std::string> seen;
-    std::vector<u64> told;
+    std::vector<u64> fetched;
     int lost = 0;
     int regained = 0;
     FollowerObserver observer;
@@ -67,7 +67,7 @@
         for (auto const& one : changes)
             seen.push_back(one.row.key);
     };
-    observer.fetched = [&](TableUpdate const& news) { told.push_back(news.previous_change); };
+    observer.fetched = [&](TableUpdate const& news) { fetched.push_back(news.previous_change); };
     observer.lost = [&](Error const&) { ++lost; };
     observer.regained = [&] { ++regained; };
     bool may_retry = true;
@@ -100,7 +100,7 @@
             CHECK(seen == std::vector<std::string> { "b" });
             THEN("it is told on, with the change that came before it")
             {
-                CHECK(told == std::vector<u64> { 3 });
+                CHECK(fetched == std::vector<u64> { 3 });
                 CHECK(follower.last_change() == 12);
                 CHECK(source.calls.front().after == 13);
             }
@@ -188,7 +188,7 @@
         {
             follower.hear({ 3, { { change("b", 14) }, 15 } });
             CHECK(seen == std::vector<std::string> { "b" });
-            CHECK(told.empty());
+            CHECK(fetched.empty());
             AND_WHEN("they come again from another reader")
             {
                 follower.hear({ 3, { { change("b", 14) }, 14 } });
