--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -351,7 +351,7 @@
     void retry(Error const& error, Again again)
     {
         if (std::exchange(this->reachable, false))
-            this->observer.lost(error);
+            this->observer.unavailable(error);
         auto delay = this->retry_delay;
         this->retry_delay = std::min(this->retry_delay * 2, this->timing.longest_retry);
         this->call_later(delay, again);
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -172,7 +172,7 @@
     Platform::FollowerObserver make_observer(std::string_view table)
     {
         Platform::FollowerObserver observer;
-        observer.lost = [this, table](Error const& error) {
+        observer.unavailable = [this, table](Error const& error) {
             this->context.reach.platform_is_lost();
             this->log.event(Core::EventNumber::PlatformUnavailable, table).with("reason", error.message);
         };
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -68,7 +68,7 @@
             seen.push_back(one.row.key);
     };
     observer.fetched = [&](TableUpdate const& news) { fetched.push_back(news.previous_change); };
-    observer.lost = [&](Error const&) { ++lost; };
+    observer.unavailable = [&](Error const&) { ++lost; };
     observer.regained = [&] { ++regained; };
     bool may_retry = true;
     observer.may_retry = [&] { return may_retry; };
@@ -248,7 +248,7 @@
             for (auto const& one : changes)
                 this->seen.push_back(one.row.key);
         };
-        observer.lost = [](Error const&) {};
+        observer.unavailable = [](Error const&) {};
         observer.regained = [] {};
         return observer;
     }
