--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -101,7 +101,7 @@
     /// Changes after this version, which others know, have not come: they may be asked for them.
     std::function<void(u64 known_version)> missed { [](u64) {} };
     /// The first failed call after a good one, and the first good one after a failure.
-    std::function<void(Error const&)> lost;
+    std::function<void(Error const&)> unavailable;
     std::function<void()> regained;
     /// Asked before a failed call is made again. Of several followers of one platform one is enough to find out that it
     /// answers again.
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -58,7 +58,7 @@
     HandSource source;
     std::vector<std::string> seen;
     std::vector<u64> fetched;
-    int lost = 0;
+    int unavailable = 0;
     int regained = 0;
     FollowerObserver observer;
     observer.listed
@@ -68,7 +68,7 @@
             seen.push_back(one.row.key);
     };
     observer.fetched = [&](TableUpdate const& news) { fetched.push_back(news.previous_change); };
-    observer.unavailable = [&](Error const&) { ++lost; };
+    observer.unavailable = [&](Error const&) { ++unavailable; };
     observer.regained = [&] { ++regained; };
     bool may_retry = true;
     observer.may_retry = [&] { return may_retry; };
@@ -114,10 +114,10 @@
         WHEN("the platform fails and comes back")
         {
             source.answer(platform_unavailable("busy"));
-            CHECK(lost == 1);
+            CHECK(unavailable == 1);
             ::Test::run_until(loop, [&] { return !source.calls.empty(); });
             source.answer(platform_unavailable("busy"));
-            CHECK(lost == 1);
+            CHECK(unavailable == 1);
             ::Test::run_until(loop, [&] { return !source.calls.empty(); });
             source.answer(ChangePage { {}, 15 });
             CHECK(regained == 1);
@@ -153,7 +153,7 @@
                 source.answer(ChangePage { {}, 6 });
                 THEN("the platform is lost for as long, and not found again each time")
                 {
-                    CHECK(lost == 1);
+                    CHECK(unavailable == 1);
                     CHECK(regained == 0);
                     ::Test::run_until(loop, [&] { return !source.calls.empty(); });
                     source.answer(ChangePage { {}, 10 });
@@ -217,7 +217,7 @@
                 {
                     CHECK(seen == std::vector<std::string> { "b" });
                     CHECK(follower.version() == 16);
-                    CHECK(lost == 0);
+                    CHECK(unavailable == 0);
                 }
             }
         }
