--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -344,7 +344,7 @@
     {
         this->retry_delay = this->timing.first_retry;
         if (!std::exchange(this->reachable, true))
-            this->observer.regained();
+            this->observer.available();
     }
 
     template<typename Again>
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -176,7 +176,7 @@
             this->context.reach.platform_is_lost();
             this->log.event(Core::EventNumber::PlatformUnavailable, table).with("reason", error.message);
         };
-        observer.regained = [this, table] {
+        observer.available = [this, table] {
             this->context.reach.platform_answers();
             this->log.event(Core::EventNumber::PlatformAvailable, table);
         };
@@ -200,7 +200,7 @@
     Platform::FollowerObserver make_backend_observer()
     {
         auto observer = this->make_observer(P::backend_table);
-        observer.regained = [this] {
+        observer.available = [this] {
             this->context.reach.platform_answers();
             this->log.event(Core::EventNumber::PlatformAvailable, P::backend_table);
             this->backends.platform_regained(this->settings.list_recovery_time);
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -69,7 +69,7 @@
     };
     observer.fetched = [&](TableUpdate const& news) { fetched.push_back(news.previous_change); };
     observer.unavailable = [&](Error const&) { ++unavailable; };
-    observer.regained = [&] { ++regained; };
+    observer.available = [&] { ++regained; };
     bool may_retry = true;
     observer.may_retry = [&] { return may_retry; };
     FollowerTiming timing;
@@ -249,7 +249,7 @@
                 this->seen.push_back(one.row.key);
         };
         observer.unavailable = [](Error const&) {};
-        observer.regained = [] {};
+        observer.available = [] {};
         return observer;
     }
 
