--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -102,7 +102,7 @@
     std::function<void(u64 known_version)> missed { [](u64) {} };
     /// The first failed call after a good one, and the first good one after a failure.
     std::function<void(Error const&)> unavailable;
-    std::function<void()> regained;
+    std::function<void()> available;
     /// Asked before a failed call is made again. Of several followers of one platform one is enough to find out that it
     /// answers again.
     std::function<bool()> may_retry { [] { return true; } };
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -59,7 +59,7 @@
     std::vector<std::string> seen;
     std::vector<u64> fetched;
     int unavailable = 0;
-    int regained = 0;
+    int available = 0;
     FollowerObserver observer;
     observer.listed
         = [&](std::vector<Row> const& rows, u64) { seen.push_back("listed " + std::to_string(rows.size())); };
@@ -69,7 +69,7 @@
     };
     observer.fetched = [&](TableUpdate const& news) { fetched.push_back(news.previous_change); };
     observer.unavailable = [&](Error const&) { ++unavailable; };
-    observer.available = [&] { ++regained; };
+    observer.available = [&] { ++available; };
     bool may_retry = true;
     observer.may_retry = [&] { return may_retry; };
     FollowerTiming timing;
@@ -120,7 +120,7 @@
             CHECK(unavailable == 1);
             ::Test::run_until(loop, [&] { return !source.calls.empty(); });
             source.answer(ChangePage { {}, 15 });
-            CHECK(regained == 1);
+            CHECK(available == 1);
         }
         WHEN("the platform fails, and another follower finds out when it is back")
         {
@@ -138,7 +138,7 @@
                     may_retry = true;
                     ::Test::run_until(loop, [&] { return !source.calls.empty(); });
                     source.answer(ChangePage { {}, 15 });
-                    CHECK(regained == 1);
+                    CHECK(available == 1);
                 }
             }
         }
@@ -154,10 +154,10 @@
                 THEN("the platform is lost for as long, and not found again each time")
                 {
                     CHECK(unavailable == 1);
-                    CHECK(regained == 0);
+                    CHECK(available == 0);
                     ::Test::run_until(loop, [&] { return !source.calls.empty(); });
                     source.answer(ChangePage { {}, 10 });
-                    CHECK(regained == 1);
+                    CHECK(available == 1);
                 }
             }
         }
