--- a/Libraries/LibServing/NewsExchange.h
+++ b/Libraries/LibServing/NewsExchange.h
@@ -70,7 +70,7 @@
         news.previous_change = message.previous_change();
         news.page.version = message.version();
         news.page.changes = std::move(rows.value());
-        follower->hear(std::move(news));
+        follower->receive_update(std::move(news));
     }
 
     /// `host` knows a change of this version of a table.
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -169,7 +169,7 @@
         seen.clear();
         THEN("news are taken")
         {
-            follower.hear({ 0, { { change("b", 1) }, 2 } });
+            follower.receive_update({ 0, { { change("b", 1) }, 2 } });
             CHECK(seen == std::vector<std::string> { "b" });
         }
         THEN("what another host knows is asked for")
@@ -186,17 +186,17 @@
         seen.clear();
         WHEN("news follow what is known")
         {
-            follower.hear({ 3, { { change("b", 14) }, 15 } });
+            follower.receive_update({ 3, { { change("b", 14) }, 15 } });
             CHECK(seen == std::vector<std::string> { "b" });
             CHECK(fetched.empty());
             AND_WHEN("they come again from another reader")
             {
-                follower.hear({ 3, { { change("b", 14) }, 14 } });
+                follower.receive_update({ 3, { { change("b", 14) }, 14 } });
                 CHECK(seen.size() == 1);
             }
             AND_WHEN("news between were missed")
             {
-                follower.hear({ 18, { { change("d", 19) }, 19 } });
+                follower.receive_update({ 18, { { change("d", 19) }, 19 } });
                 REQUIRE(source.calls.size() == 1);
                 CHECK(source.calls.front().after == 15);
                 CHECK(source.calls.front().wait == 0s);
@@ -211,7 +211,7 @@
             REQUIRE(source.calls.size() == 1);
             AND_WHEN("news come while the platform is asked")
             {
-                follower.hear({ 3, { { change("b", 12) }, 16 } });
+                follower.receive_update({ 3, { { change("b", 12) }, 16 } });
                 source.answer(ChangePage { { change("b", 12) }, 14 });
                 THEN("nothing is taken twice, and nothing goes back")
                 {
@@ -330,11 +330,11 @@
     ReadFollower patient(timing, Following::None);
     WHEN("news overtake those before them")
     {
-        patient.follower.hear({ 12, { { change("c", 14) }, 14 } });
+        patient.follower.receive_update({ 12, { { change("c", 14) }, 14 } });
         CHECK(patient.seen.empty());
         AND_WHEN("those come")
         {
-            patient.follower.hear({ 3, { { change("b", 12) }, 12 } });
+            patient.follower.receive_update({ 3, { { change("b", 12) }, 12 } });
             THEN("both are taken in their order, and the platform is left alone")
             {
                 CHECK(patient.seen == std::vector<std::string> { "b", "c" });
@@ -361,7 +361,7 @@
         CHECK(patient.source.calls.empty());
         AND_WHEN("news of it come")
         {
-            patient.follower.hear({ 3, { { change("b", 12) }, 12 } });
+            patient.follower.receive_update({ 3, { { change("b", 12) }, 12 } });
             patient.pass(10 * timing.news_patience);
             CHECK(patient.source.calls.empty());
         }
