--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -145,7 +145,7 @@
     }
 
     /// Changes from elsewhere.
-    void hear(TableUpdate news)
+    void receive_update(TableUpdate news)
     {
         if (!this->is_listed || news.page.version <= this->known_version)
             return;
