--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -60,7 +60,7 @@
     /// How long the platform may hold a call that waits for changes. It bounds how long a lost answer goes unnoticed.
     Duration wait { 2s };
     /// How long beyond that an answer may take; a slow store takes some hundred milliseconds.
-    Duration answer_patience { 1s };
+    Duration response_timeout { 1s };
     /// Pause before a call that failed is made again; it doubles up to the limit. Refused calls cost the platform too,
     /// and meanwhile changes are heard from other processes.
     Duration first_retry { 50ms };
@@ -184,7 +184,7 @@
     {
         if (first_key.empty())
             this->listing.clear();
-        this->source.list(this->table, first_key, this->timing.answer_patience,
+        this->source.list(this->table, first_key, this->timing.response_timeout,
             [this](Result<RowPage> page) { this->page_arrived(std::move(page)); });
     }
 
@@ -261,7 +261,7 @@
     {
         this->is_calling = true;
         this->version_of_call = this->known_version;
-        this->source.changes(this->table, this->known_version, wait, wait + this->timing.answer_patience,
+        this->source.changes(this->table, this->known_version, wait, wait + this->timing.response_timeout,
             [this](Result<ChangePage> page) { this->changes_arrived(std::move(page)); });
     }
 
