--- a/Libraries/LibServing/HostSettings.cpp
+++ b/Libraries/LibServing/HostSettings.cpp
@@ -41,8 +41,8 @@
     settings.list_recovery_time = reader.duration_or("backends.list_recovery_time", settings.list_recovery_time);
     settings.longest_back_off = reader.duration_or("backends.longest_back_off", settings.longest_back_off);
     settings.follower.wait = reader.duration_or("platform.wait", settings.follower.wait);
-    settings.follower.answer_patience
-        = reader.duration_or("platform.answer_patience", settings.follower.answer_patience);
+    settings.follower.response_timeout
+        = reader.duration_or("platform.answer_patience", settings.follower.response_timeout);
     settings.follower.pause_after_changes
         = reader.duration_or("platform.pause_after_changes", settings.follower.pause_after_changes);
     settings.follower.standby_period = reader.duration_or("platform.standby_period", settings.follower.standby_period);
