--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -71,7 +71,7 @@
     Duration standby_period { 1s };
     /// How long changes that others know are awaited from them before the platform is asked. After a quarter of it
     /// others are asked for what they know.
-    Duration news_patience { 0ms };
+    Duration peer_update_timeout { 0ms };
 };
 
 /// What a follower asks the platform for.
@@ -161,13 +161,13 @@
         this->wanted_version = std::max(this->wanted_version, version);
         if (!this->is_listed || this->wanted_version <= this->known_version || this->is_calling)
             return;
-        if (this->timing.news_patience <= 0s)
+        if (this->timing.peer_update_timeout <= 0s)
             return this->follow(0s);
         if (this->is_patient)
             return;
-        this->wait_for_others(this->timing.news_patience / 4, [this] {
+        this->wait_for_others(this->timing.peer_update_timeout / 4, [this] {
             this->observer.missed(this->known_version);
-            this->wait_for_others(this->timing.news_patience * 3 / 4, [this] { this->follow(0s); });
+            this->wait_for_others(this->timing.peer_update_timeout * 3 / 4, [this] { this->follow(0s); });
         });
     }
 
--- a/Libraries/LibServing/HostSettings.cpp
+++ b/Libraries/LibServing/HostSettings.cpp
@@ -46,7 +46,8 @@
     settings.follower.pause_after_changes
         = reader.duration_or("platform.pause_after_changes", settings.follower.pause_after_changes);
     settings.follower.standby_period = reader.duration_or("platform.standby_period", settings.follower.standby_period);
-    settings.follower.news_patience = reader.duration_or("platform.news_patience", settings.follower.news_patience);
+    settings.follower.peer_update_timeout
+        = reader.duration_or("platform.news_patience", settings.follower.peer_update_timeout);
     auto& budget = settings.retry_budget;
     budget.ratio = number_or(reader, "retries.ratio", budget.ratio);
     budget.allowance = number_or(reader, "retries.allowance", budget.allowance);
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -214,7 +214,7 @@
     Libraries/LibServing/HostDirectory.h "page.value().more && " "false && "
 guard "missed changes are awaited from others" TestLibPlatform \
     "Scenario: changes that others know are awaited from them for a while" \
-    Libraries/LibPlatform/ChangeFollower.h "this->timing.news_patience <= 0s" "true"
+    Libraries/LibPlatform/ChangeFollower.h "this->timing.peer_update_timeout <= 0s" "true"
 guard "one host reads promptly for all" TestLibServing "Scenario: one host of all domains reads changes promptly for all" \
     Libraries/LibServing/Reach.cpp "host.said.domain < this->own_domain && !is_silent" "false && !is_silent"
 guard "a service is out of reach by two signs" TestLibServing \
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -326,7 +326,7 @@
 SCENARIO("changes that others know are awaited from them for a while")
 {
     FollowerTiming timing;
-    timing.news_patience = 5ms;
+    timing.peer_update_timeout = 5ms;
     ReadFollower patient(timing, Following::None);
     WHEN("news overtake those before them")
     {
@@ -338,7 +338,7 @@
             THEN("both are taken in their order, and the platform is left alone")
             {
                 CHECK(patient.seen == std::vector<std::string> { "b", "c" });
-                patient.pass(10 * timing.news_patience);
+                patient.pass(10 * timing.peer_update_timeout);
                 CHECK(patient.source.calls.empty());
             }
         }
@@ -350,7 +350,7 @@
                 CHECK(patient.source.calls.front().after == 10);
                 patient.source.answer(ChangePage { { change("b", 12), change("c", 14) }, 14 });
                 CHECK(patient.seen == std::vector<std::string> { "b", "c" });
-                patient.pass(10 * timing.news_patience);
+                patient.pass(10 * timing.peer_update_timeout);
                 CHECK(patient.source.calls.empty());
             }
         }
@@ -362,7 +362,7 @@
         AND_WHEN("news of it come")
         {
             patient.follower.receive_update({ 3, { { change("b", 12) }, 12 } });
-            patient.pass(10 * timing.news_patience);
+            patient.pass(10 * timing.peer_update_timeout);
             CHECK(patient.source.calls.empty());
         }
         AND_WHEN("none come")
