--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -64,7 +64,7 @@
     /// Pause before a call that failed is made again; it doubles up to the limit. Refused calls cost the platform too,
     /// and meanwhile changes are heard from other processes.
     Duration first_retry { 50ms };
-    Duration longest_retry { 1s };
+    Duration max_retry_delay { 1s };
     /// Between an answer with changes and the next call: changes that come together are then read with one call.
     Duration pause_after_changes { 0ms };
     /// Between the calls of a follower that is there for when another one fails.
@@ -353,7 +353,7 @@
         if (std::exchange(this->reachable, false))
             this->observer.unavailable(error);
         auto delay = this->retry_delay;
-        this->retry_delay = std::min(this->retry_delay * 2, this->timing.longest_retry);
+        this->retry_delay = std::min(this->retry_delay * 2, this->timing.max_retry_delay);
         this->call_later(delay, again);
     }
 
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -73,7 +73,7 @@
     bool may_retry = true;
     observer.may_retry = [&] { return may_retry; };
     FollowerTiming timing;
-    timing.first_retry = timing.longest_retry = 1ms;
+    timing.first_retry = timing.max_retry_delay = 1ms;
     ChangeFollower<HandSource> follower(loop, source, "servers", observer, timing);
     follower.start();
 
@@ -127,7 +127,7 @@
             may_retry = false;
             source.answer(platform_unavailable("busy"));
             bool time_has_passed = false;
-            AK::Timer timer(loop, 20 * timing.longest_retry);
+            AK::Timer timer(loop, 20 * timing.max_retry_delay);
             timer.async_wait([&](boost::system::error_code) { time_has_passed = true; });
             ::Test::run_until(loop, [&] { return time_has_passed; });
             THEN("it asks nothing meanwhile")
