--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -63,7 +63,7 @@
     Duration response_timeout { 1s };
     /// Pause before a call that failed is made again; it doubles up to the limit. Refused calls cost the platform too,
     /// and meanwhile changes are heard from other processes.
-    Duration first_retry { 50ms };
+    Duration initial_retry_delay { 50ms };
     Duration max_retry_delay { 1s };
     /// Between an answer with changes and the next call: changes that come together are then read with one call.
     Duration pause_after_changes { 0ms };
@@ -122,7 +122,7 @@
         , retry_timer(loop)
         , pace_timer(loop)
         , patience_timer(loop)
-        , retry_delay(timing.first_retry)
+        , retry_delay(timing.initial_retry_delay)
     {
     }
 
@@ -342,7 +342,7 @@
 
     void note_success()
     {
-        this->retry_delay = this->timing.first_retry;
+        this->retry_delay = this->timing.initial_retry_delay;
         if (!std::exchange(this->reachable, true))
             this->observer.available();
     }
@@ -365,7 +365,7 @@
             if (error)
                 return;
             if (!this->observer.may_retry())
-                return this->call_later(this->timing.first_retry, again);
+                return this->call_later(this->timing.initial_retry_delay, again);
             again();
         });
     }
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -73,7 +73,7 @@
     bool may_retry = true;
     observer.may_retry = [&] { return may_retry; };
     FollowerTiming timing;
-    timing.first_retry = timing.max_retry_delay = 1ms;
+    timing.initial_retry_delay = timing.max_retry_delay = 1ms;
     ChangeFollower<HandSource> follower(loop, source, "servers", observer, timing);
     follower.start();
 
