--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -66,7 +66,7 @@
     Duration initial_retry_delay { 50ms };
     Duration max_retry_delay { 1s };
     /// Between an answer with changes and the next call: changes that come together are then read with one call.
-    Duration pause_after_changes { 0ms };
+    Duration delay_after_changes { 0ms };
     /// Between the calls of a follower that is there for when another one fails.
     Duration standby_period { 1s };
     /// How long changes that others know are awaited from them before the platform is asked. After a quarter of it
@@ -271,8 +271,8 @@
         this->is_calling = false;
         if (!this->is_listed)
             return;
-        if (this->following == Following::Prompt && changes_came && this->timing.pause_after_changes > 0s)
-            return this->call_after(this->timing.pause_after_changes);
+        if (this->following == Following::Prompt && changes_came && this->timing.delay_after_changes > 0s)
+            return this->call_after(this->timing.delay_after_changes);
         if (this->following == Following::Prompt)
             return this->follow(this->timing.wait);
         if (this->wanted_version > this->known_version)
--- a/Libraries/LibServing/HostSettings.cpp
+++ b/Libraries/LibServing/HostSettings.cpp
@@ -43,8 +43,8 @@
     settings.follower.wait = reader.duration_or("platform.wait", settings.follower.wait);
     settings.follower.response_timeout
         = reader.duration_or("platform.answer_patience", settings.follower.response_timeout);
-    settings.follower.pause_after_changes
-        = reader.duration_or("platform.pause_after_changes", settings.follower.pause_after_changes);
+    settings.follower.delay_after_changes
+        = reader.duration_or("platform.pause_after_changes", settings.follower.delay_after_changes);
     settings.follower.standby_period = reader.duration_or("platform.standby_period", settings.follower.standby_period);
     settings.follower.peer_update_timeout
         = reader.duration_or("platform.news_patience", settings.follower.peer_update_timeout);
--- a/Libraries/LibServing/HostSettings.h
+++ b/Libraries/LibServing/HostSettings.h
@@ -34,7 +34,7 @@
     RetryBudget::Limits retry_budget {};
     /// Reclaimed engines leave in groups, whose changes the pause puts into one call; it is a thirtieth of the shortest
     /// notice. News reach a domain of 59 hosts in some 10 ms, so that what has not come after the patience is lost.
-    Platform::FollowerTiming follower { .pause_after_changes = 50ms, .peer_update_timeout = 400ms };
+    Platform::FollowerTiming follower { .delay_after_changes = 50ms, .peer_update_timeout = 400ms };
     /// How long entries that lapsed while the platform was away may take to come back.
     Duration list_recovery_time { 2s };
     u32 random_seed { 1 };
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -271,7 +271,7 @@
 SCENARIO("each call to the platform has its price, so few ask it")
 {
     FollowerTiming timing;
-    timing.pause_after_changes = 5ms;
+    timing.delay_after_changes = 5ms;
     timing.standby_period = 5ms;
     GIVEN("a follower that follows promptly")
     {
@@ -291,7 +291,7 @@
             AND_WHEN("it need not follow any more")
             {
                 prompt.follower.set_following(Following::None);
-                prompt.pass(10 * timing.pause_after_changes);
+                prompt.pass(10 * timing.delay_after_changes);
                 CHECK(prompt.source.calls.empty());
             }
         }
