--- a/Libraries/LibGateway/ServiceEdge.cpp
+++ b/Libraries/LibGateway/ServiceEdge.cpp
@@ -29,9 +29,9 @@
     response.sendBuffer(answer.body.data(), answer.body.size());
 }
 
-static Platform::HttpQuestion to_question(ServiceCall const& call, OrganisationId const& organisation)
+static Platform::HttpRequest to_question(ServiceCall const& call, OrganisationId const& organisation)
 {
-    Platform::HttpQuestion question { call.method, call.path, call.body, {} };
+    Platform::HttpRequest question { call.method, call.path, call.body, {} };
     question.headers["Lilactiller-Organisation"] = organisation.value();
     question.headers["Lilactiller-Call"] = call.id;
     if (!call.content_type.empty())
--- a/Libraries/LibPlatform/HttpCall.cpp
+++ b/Libraries/LibPlatform/HttpCall.cpp
@@ -53,7 +53,7 @@
     return body;
 }
 
-Poco::Net::HTTPRequest make_http_request(Address const& address, HttpQuestion const& question)
+Poco::Net::HTTPRequest make_http_request(Address const& address, HttpRequest const& question)
 {
     Poco::Net::HTTPRequest request(question.method, question.path, Poco::Net::HTTPMessage::HTTP_1_1);
     // The session was given a connected socket and knows no host name.
@@ -66,7 +66,7 @@
     return request;
 }
 
-HttpResult call_http(Address const& address, HttpQuestion const& question, Duration patience)
+HttpResult call_http(Address const& address, HttpRequest const& question, Duration patience)
 {
     BOOST_OUTCOME_TRY(auto session, connect_http(address, patience));
     try {
--- a/Libraries/LibPlatform/HttpCall.h
+++ b/Libraries/LibPlatform/HttpCall.h
@@ -22,7 +22,7 @@
     std::map<std::string, std::string> headers;
 };
 
-struct HttpQuestion {
+struct HttpRequest {
     std::string method;
     std::string path;
     std::string body;
@@ -43,7 +43,7 @@
 using HttpResult = boost::outcome_v2::basic_result<HttpAnswer, HttpFailure, boost::outcome_v2::policy::terminate>;
 
 /// The head of a request to `address`, for a session of connect_http().
-Poco::Net::HTTPRequest make_http_request(Address const&, HttpQuestion const&);
+Poco::Net::HTTPRequest make_http_request(Address const&, HttpRequest const&);
 
 /// Opens a connection without sending anything.
 boost::outcome_v2::basic_result<std::unique_ptr<Poco::Net::HTTPClientSession>, HttpFailure,
@@ -52,6 +52,6 @@
 
 /// Makes one call on a connection of its own and reads the whole answer. Blocks for up to about `patience` at each of
 /// connecting and reading. Bodies over 16 MiB are cut off as a failure.
-HttpResult call_http(Address const&, HttpQuestion const&, Duration patience);
+HttpResult call_http(Address const&, HttpRequest const&, Duration patience);
 
 }
--- a/Tests/Promises/TestWholeSession.cpp
+++ b/Tests/Promises/TestWholeSession.cpp
@@ -42,7 +42,7 @@
     void call(std::string const& method, std::string const& path, std::string const& key, std::string const& body)
     {
         this->say("> " + method + ' ' + path + (key.empty() ? "" : " as " + key) + ' ' + body);
-        Platform::HttpQuestion question { method, path, body, {} };
+        Platform::HttpRequest question { method, path, body, {} };
         if (!key.empty())
             question.headers["Authorization"] = "Bearer " + key;
         auto answer = Platform::call_http(this->gateway, question, 30s);
--- a/Utilities/CallerClient.cpp
+++ b/Utilities/CallerClient.cpp
@@ -142,7 +142,7 @@
 CallResult CallerClient::call_service(size_t gateway, std::string const& method, std::string const& path,
     std::string const& idempotency_key, std::string const& body)
 {
-    Platform::HttpQuestion question { method, path, body, { { "Authorization", "Bearer " + this->api_key } } };
+    Platform::HttpRequest question { method, path, body, { { "Authorization", "Bearer " + this->api_key } } };
     if (!idempotency_key.empty())
         question.headers["Idempotency-Key"] = idempotency_key;
     auto const& chosen = this->gateways[this->ready_gateway(gateway) % this->gateways.size()];
