--- a/Libraries/LibGateway/ServiceEdge.cpp
+++ b/Libraries/LibGateway/ServiceEdge.cpp
@@ -20,7 +20,7 @@
 {
 }
 
-static void send_answer(Poco::Net::HTTPServerResponse& response, Platform::HttpAnswer const& answer)
+static void send_answer(Poco::Net::HTTPServerResponse& response, Platform::HttpResponse const& answer)
 {
     response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.status));
     auto type = answer.headers.find("Content-Type");
--- a/Libraries/LibPlatform/HttpCall.cpp
+++ b/Libraries/LibPlatform/HttpCall.cpp
@@ -81,7 +81,7 @@
         auto expected = response.getContentLength64();
         if (expected >= 0 && static_cast<size_t>(expected) != body.value().size())
             return HttpFailure { CallProgress::MayHaveBeenSent, "the answer was cut short" };
-        HttpAnswer answer { static_cast<int>(response.getStatus()), std::move(body.value()), {} };
+        HttpResponse answer { static_cast<int>(response.getStatus()), std::move(body.value()), {} };
         for (auto const& [name, value] : response)
             answer.headers.emplace(name, value);
         return answer;
--- a/Libraries/LibPlatform/HttpCall.h
+++ b/Libraries/LibPlatform/HttpCall.h
@@ -16,7 +16,7 @@
 
 namespace Platform {
 
-struct HttpAnswer {
+struct HttpResponse {
     int status { 0 };
     std::string body;
     std::map<std::string, std::string> headers;
@@ -40,7 +40,7 @@
     std::string detail;
 };
 
-using HttpResult = boost::outcome_v2::basic_result<HttpAnswer, HttpFailure, boost::outcome_v2::policy::terminate>;
+using HttpResult = boost::outcome_v2::basic_result<HttpResponse, HttpFailure, boost::outcome_v2::policy::terminate>;
 
 /// The head of a request to `address`, for a session of connect_http().
 Poco::Net::HTTPRequest make_http_request(Address const&, HttpRequest const&);
--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -28,7 +28,7 @@
 }
 
 /// A call that only reads: whatever went wrong, nothing was changed.
-static Result<HttpAnswer> read_only(Address const& address, std::string const& path, Duration patience)
+static Result<HttpResponse> read_only(Address const& address, std::string const& path, Duration patience)
 {
     auto answer = call_http(address, { "GET", path, {}, {} }, patience);
     if (!answer)
