--- a/Libraries/LibCore/StructuredLog.cpp
+++ b/Libraries/LibCore/StructuredLog.cpp
@@ -90,7 +90,7 @@
 
 void StructuredLog::take(std::string line)
 {
-    if (this->waiting.size() + line.size() >= most_waiting_bytes) {
+    if (this->waiting.size() + line.size() >= max_pending_bytes) {
         ++this->dropped_since_report;
         ++this->dropped_total;
         return;
--- a/Libraries/LibCore/StructuredLog.h
+++ b/Libraries/LibCore/StructuredLog.h
@@ -30,7 +30,7 @@
     /// Lines that may come at once: five seconds' worth.
     static constexpr double burst_lines = 1000;
     /// Bytes that may wait for a stalled reader.
-    static constexpr size_t most_waiting_bytes = 256 << 10;
+    static constexpr size_t max_pending_bytes = 256 << 10;
 
     explicit StructuredLog(Sink sink, double lines_per_second = default_lines_per_second);
 
--- a/Tests/LibCore/TestStructuredLog.cpp
+++ b/Tests/LibCore/TestStructuredLog.cpp
@@ -59,7 +59,7 @@
             reads = true;
             log.flush();
             log.flush();
-            CHECK(text.size() <= StructuredLog::most_waiting_bytes + 200);
+            CHECK(text.size() <= StructuredLog::max_pending_bytes + 200);
             CHECK(text.find("event=E1006 log_lines_dropped") != std::string::npos);
         }
     }
