--- a/Libraries/LibCore/Settings.cpp
+++ b/Libraries/LibCore/Settings.cpp
@@ -63,7 +63,7 @@
     this->complaints.push_back(this->name + ':' + std::to_string(line) + ": " + key + ": " + remedy);
 }
 
-void SettingsReader::complain_of(std::string const& key, std::string const& remedy)
+void SettingsReader::add_error(std::string const& key, std::string const& remedy)
 {
     this->complain(this->find(key), key, remedy);
 }
--- a/Libraries/LibCore/Settings.h
+++ b/Libraries/LibCore/Settings.h
@@ -36,7 +36,7 @@
     std::vector<std::string> address_list(std::string const& key);
 
     /// Adds a complaint of the caller's own about `key`.
-    void complain_of(std::string const& key, std::string const& remedy);
+    void add_error(std::string const& key, std::string const& remedy);
 
     /// Success, or one error that lists every complaint.
     [[nodiscard]] Result<void> finish();
--- a/Libraries/LibOperator/OperatorSettings.cpp
+++ b/Libraries/LibOperator/OperatorSettings.cpp
@@ -37,7 +37,7 @@
         if (auto parsed = parse_operator(text))
             settings.operators.insert(*parsed);
         else
-            reader.complain_of(
+            reader.add_error(
                 "operator.operators", "each entry must read name:viewer:<sha-256> or name:editor:<sha-256>");
     }
     return settings;
--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -50,7 +50,7 @@
         std::string all;
         for (auto const& [name, value] : names)
             all += (all.empty() ? "" : ", ") + std::string(name);
-        reader.complain_of(key, "\"" + text + "\" is not known; write some of " + all);
+        reader.add_error(key, "\"" + text + "\" is not known; write some of " + all);
     }
     return values;
 }
@@ -70,7 +70,7 @@
         }
         std::ostringstream remedy;
         remedy << "expected numbers from " << smallest << " to " << largest;
-        reader.complain_of(key, remedy.str());
+        reader.add_error(key, remedy.str());
     }
     return values;
 }
@@ -88,7 +88,7 @@
         { std::pair { "ways", experiment.ways.empty() }, std::pair { "patterns", experiment.patterns.empty() },
             std::pair { "hosts", experiment.hosts.empty() }, std::pair { "loads", experiment.loads.empty() } }) {
         if (is_empty)
-            reader.complain_of(key, "has no value that can be used; write a list of one at least");
+            reader.add_error(key, "has no value that can be used; write a list of one at least");
     }
     auto checked = reader.finish();
     if (!checked)
--- a/Libraries/LibServing/HostSettings.cpp
+++ b/Libraries/LibServing/HostSettings.cpp
@@ -19,7 +19,7 @@
     auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
     if (parsed.ec == std::errc {} && parsed.ptr == text.data() + text.size() && number >= 0)
         return number;
-    reader.complain_of(key, "expected a number that is not negative, such as 0.2");
+    reader.add_error(key, "expected a number that is not negative, such as 0.2");
     return fallback;
 }
 
