--- a/Libraries/LibPlatform/ClaimBatch.h
+++ b/Libraries/LibPlatform/ClaimBatch.h
@@ -100,7 +100,7 @@
     {
         this->claims = &claims;
         this->verdicts.assign(claims.size(), std::nullopt);
-        this->settle_doubles();
+        this->settle_duplicates();
         // Each failed condition settles at least one claim, unless the platform misbehaves.
         for (size_t round = 0; round <= claims.size() + 1 && this->has_open(); ++round) {
             auto transaction = this->prepare();
@@ -122,7 +122,7 @@
         return std::ranges::any_of(this->verdicts, [](auto const& verdict) { return !verdict; });
     }
 
-    void settle_doubles()
+    void settle_duplicates()
     {
         std::set<std::string> seen;
         for (size_t i = 0; i < this->claims->size(); ++i) {
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -76,7 +76,7 @@
     Libraries/LibPlatform/ClaimBatch.h "} else if (claim_is_held(row.value(), this->wall_now)) {" \
     "} else if (false) {"
 guard "a claim is conditional" TestLibPlatform "no key is ever granted to two calls" \
-    Libraries/LibPlatform/ClaimBatch.h "this->settle_doubles();" ""
+    Libraries/LibPlatform/ClaimBatch.h "this->settle_duplicates();" ""
 guard "leaving is heeded" TestPromises "Scenario: a backend server that is leaving gets no new work, and what it runs runs to its end" \
     Libraries/LibScheduling/Systems.cpp "return !engine.draining && !engine.silent" "return !engine.silent"
 guard "gossip goes to drawn members" TestLibMembership "Scenario: members that start together do not lose each other" \
