--- a/AK/Clock.cpp
+++ b/AK/Clock.cpp
@@ -10,16 +10,16 @@
 
 namespace AK {
 
-static std::atomic<Duration::rep> suspended_in_test { 0 };
+static std::atomic<Duration::rep> simulated_suspension { 0 };
 
 BootClock::time_point BootClock::now() noexcept
 {
     ::timespec time {};
     ::clock_gettime(CLOCK_BOOTTIME, &time);
     auto const since_start = std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
-    return time_point(since_start + Duration(suspended_in_test.load(std::memory_order_relaxed)));
+    return time_point(since_start + Duration(simulated_suspension.load(std::memory_order_relaxed)));
 }
 
-void BootClock::simulate_suspension(Duration span) noexcept { suspended_in_test += span.count(); }
+void BootClock::simulate_suspension(Duration span) noexcept { simulated_suspension += span.count(); }
 
 }
--- a/AK/Error.h
+++ b/AK/Error.h
@@ -15,7 +15,7 @@
 
 namespace AK {
 
-/// Kinds of error that a caller or operator can tell apart. The wire names are in to_string().
+/// Error kinds that callers and operators distinguish. to_string() returns the names on the wire.
 enum class ErrorKind : u8 {
     InvalidRequest,
     BodyTooLarge,
@@ -43,11 +43,11 @@
 
 std::string_view to_string(ErrorKind);
 
-/// A typed error. The message says what is wrong and what to do about it.
+/// A typed error. The message states the problem and its remedy.
 struct [[nodiscard]] Error {
     ErrorKind kind { ErrorKind::InvalidRequest };
     std::string message;
-    /// When the caller should come back, measured from now. Every refusal for want of capacity sets it.
+    /// Delay after which the caller should retry. Set in every rejection for lack of capacity.
     std::optional<Duration> retry_after {};
 
     bool operator==(Error const&) const = default;
@@ -62,11 +62,11 @@
 
 }
 
-/// Early return of an error: TRY(auto value, fallible()) or TRYV(fallible()).
+/// Returns early on an error: TRY(auto value, fallible()) or TRYV(fallible()).
 #define TRY(declaration, expression) BOOST_OUTCOME_TRY(declaration, expression)
 #define TRYV(expression) BOOST_OUTCOME_TRYV(expression)
 
-/// An invariant of our own code. Never used on input.
+/// Asserts an internal invariant and aborts the process if it does not hold. Not for the validation of input.
 #define VERIFY(expression)                                                                                             \
     (static_cast<bool>(expression) ? void(0) : ::AK::verification_failed(#expression, __FILE__, __LINE__))
 
--- a/AK/Identifiers.h
+++ b/AK/Identifiers.h
@@ -8,7 +8,7 @@
 
 #include <AK/Types.h>
 
-/// Identifiers of the brief's entities. Each is a type of its own so that they cannot change places in a call.
+/// Identifiers of the system's entities. Each has its own type, so that the compiler rejects swapped arguments.
 namespace AK {
 
 using OrganisationId = StrongType<struct OrganisationTag, std::string>;
@@ -16,18 +16,19 @@
 using RouteName = StrongType<struct RouteTag, std::string>;
 using ServiceName = StrongType<struct ServiceTag, std::string>;
 using EngineId = StrongType<struct EngineTag, std::string>;
-/// When a backend server's process started, in Unix milliseconds by its own clock. The id and this name one process: a
-/// later start under the same id is another server, which holds and knows nothing of the former one. 0: not told.
+/// Start time of a backend server's process, in Unix milliseconds by its own clock; 0 if the server did not report it.
+/// The id and the start time together identify one process. A later start under the same id is a different server,
+/// which has none of the state of the earlier one.
 using ServerStart = StrongType<struct ServerStartTag, i64>;
 using FailureDomainId = StrongType<struct FailureDomainTag, std::string>;
-/// Names one process of the system on one host.
+/// Identifies one process of the system on one host.
 using MemberId = StrongType<struct MemberTag, std::string>;
 using GenerationId = StrongType<struct GenerationTag, std::string>;
-/// An "ip:port" a process listens on.
+/// The "ip:port" that a process listens on.
 using Address = StrongType<struct AddressTag, std::string>;
-/// Counts the dispatches of one generation; a higher number fences out every lower one.
+/// Sequence number of a dispatch of one generation; a higher number fences out every lower one.
 using AttemptNumber = StrongType<struct AttemptTag, u32>;
-/// Grows at each start of a member, so that a restarted member is told from the one that died.
+/// Increases at each start of a member, to distinguish a restarted member from the one that died.
 using Incarnation = StrongType<struct IncarnationTag, u64>;
 /// Position in the ordered log of configuration changes; 0 is the empty configuration.
 using Revision = StrongType<struct RevisionTag, u64>;
--- a/AK/Timer.h
+++ b/AK/Timer.h
@@ -12,8 +12,8 @@
 
 namespace AK {
 
-/// The loop sleeps by a clock that stands still while the machine is suspended; it wakes so often to see whether a
-/// timer was due meanwhile.
+/// Limits each sleep of the event loop. The loop sleeps on a clock that stops while the machine is suspended, and so
+/// has to check at least once per `max_sleep` whether a timer expired during a suspension.
 struct BootWaitTraits {
     static constexpr Duration max_sleep = 100ms;
 
@@ -21,7 +21,7 @@
     static Duration to_wait_duration(Instant const& instant) { return to_wait_duration(instant - BootClock::now()); }
 };
 
-/// A timer whose time goes on while the machine is suspended.
+/// A timer that also counts the time during which the machine is suspended.
 using Timer = boost::asio::basic_waitable_timer<BootClock, BootWaitTraits>;
 
 }
--- a/AK/Types.h
+++ b/AK/Types.h
@@ -23,8 +23,8 @@
 using u64 = std::uint64_t;
 using i64 = std::int64_t;
 
-/// A value that cannot be mixed up with another one of the same representation.
-/// `Tag` is an empty type that names the meaning; it is never instantiated.
+/// A value that does not convert to another type with the same representation.
+/// `Tag` names the meaning; it is never defined or instantiated.
 template<typename Tag, typename Representation>
 class StrongType {
 public:
@@ -51,8 +51,8 @@
 
 using Duration = std::chrono::nanoseconds;
 
-/// Time since the machine's start that never goes back, and goes on while the machine is suspended: beliefs and
-/// deadlines age then as well. The standard library's steady clock stands still meanwhile.
+/// Monotonic time since the machine's start, including suspensions of the machine, so that estimates and deadlines age
+/// during them. std::chrono::steady_clock stops while the machine is suspended.
 class BootClock {
 public:
     using rep = Duration::rep;
@@ -62,11 +62,11 @@
     static constexpr bool is_steady = true;
 
     static time_point now() noexcept;
-    /// For tests: lets so much time pass at once for this process, as a suspension of the machine does.
+    /// For tests: advances this process's clock by `span` at once, as a suspension of the machine does.
     static void simulate_suspension(Duration span) noexcept;
 };
 
-/// Monotonic time since an arbitrary start: the loop's clock in daemons, virtual time in the bench.
+/// Monotonic time since an arbitrary start: the event loop's clock in daemons, virtual time in the benchmark.
 using Instant = BootClock::time_point;
 
 constexpr double to_seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
