--- a/Libraries/LibCore/BackgroundCaller.h
+++ b/Libraries/LibCore/BackgroundCaller.h
@@ -16,15 +16,15 @@
 
 namespace Core {
 
-/// Threads for calls that block, such as HTTP to the platform or to an engine's control address. A call runs on
-/// one of them and its result goes back to the loop; calls never touch the loop's tables.
+/// A thread pool for blocking calls, such as HTTP to the platform or to an engine's control address. A call runs on one
+/// of the threads and its result is posted to the event loop. Calls must not access state owned by the loop.
 class BackgroundCaller {
 public:
     BackgroundCaller(EventLoop& loop, size_t thread_count);
-    /// Waits for the calls that run; drops those that have not started.
+    /// Waits for running calls and drops those that have not started.
     ~BackgroundCaller();
 
-    /// Runs `call` in the background, then `on_result` with what it returned on the loop.
+    /// Runs `call` on a background thread, then `on_result` with its return value on the loop.
     template<typename Call, typename OnResult>
     void submit(Call call, OnResult on_result)
     {
@@ -36,7 +36,7 @@
         });
     }
 
-    /// Calls that wait for a thread. Callers that repeat on a timer skip a beat while this grows.
+    /// Number of queued calls. Callers that submit periodically skip a period while calls are queued.
     [[nodiscard]] size_t waiting_count();
 
 private:
--- a/Libraries/LibCore/Clock.h
+++ b/Libraries/LibCore/Clock.h
@@ -11,7 +11,7 @@
 
 namespace Core {
 
-/// A source of time, passed in so that tests and the bench choose it.
+/// A source of time, passed in so that tests and the benchmark can replace it.
 template<typename T>
 concept Clock = requires(T const& clock)
 {
@@ -34,7 +34,7 @@
     }
 };
 
-/// A clock that moves only when told to.
+/// A clock that advances only through advance().
 class ManualClock {
 public:
     [[nodiscard]] Instant now() const { return this->current; }
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -12,8 +12,8 @@
 
 namespace Core {
 
-/// The number of each event that a process writes to its log and its time line. docs/EVENTS.md explains each; a
-/// test holds the two together. Numbers are never used again for another meaning.
+/// Numbers of the events that a process writes to its log and its timeline. docs/EVENTS.md describes each event, and a
+/// test checks that the page matches this list. The number of a removed event is never reused.
 enum class EventNumber : u32 {
     ProcessStarted = 1001,
     ProcessReady = 1002,
--- a/Libraries/LibCore/EventLog.h
+++ b/Libraries/LibCore/EventLog.h
@@ -21,15 +21,15 @@
     HybridStamp stamp;
     MemberId member;
     EventNumber number;
-    /// The generation, change, engine or member the event is about.
+    /// Id of the generation, change, engine or member that the event concerns.
     std::string subject;
-    /// Set for events that belong to one organisation and may be shown to no other.
+    /// Set for events that only this organisation may see.
     OrganisationId organisation;
     std::string text;
 };
 
-/// The last events of this process, in memory, and the hybrid clock that stamps them. Thread safe. Each event also
-/// goes to the log, with its number.
+/// A bounded in-memory buffer of this process's latest events, with the hybrid clock that timestamps them. Each event
+/// is also written to the log with its number. Thread safe.
 class EventLog {
 public:
     static constexpr size_t default_capacity = 4096;
@@ -37,9 +37,10 @@
     explicit EventLog(MemberId member, size_t capacity = default_capacity);
 
     void record(EventNumber number, std::string subject, std::string text, OrganisationId organisation = {});
-    /// Called after each event, on the thread that records it. Set it before other threads record.
+    /// Sets a function that is called after each event, on the recording thread. Must be set before other threads
+    /// record.
     void on_record(std::function<void()> observer) { this->observer = std::move(observer); }
-    /// The newest `maximum` events, oldest first; with a subject, only those about it.
+    /// Returns the newest `maximum` events, oldest first; if `subject` is not empty, only the events about it.
     [[nodiscard]] std::vector<Event> latest(size_t maximum, std::string const& subject = {}) const;
     [[nodiscard]] HybridStamp stamp_outgoing();
     void observe(HybridStamp received);
@@ -54,7 +55,7 @@
     std::function<void()> observer;
 };
 
-/// "stamp member E1001 process_started subject text", the form of one line of a time line.
+/// Formats an event as one line of a timeline: "stamp member E1001 process_started subject text".
 std::string format_event(Event const&);
 
 }
--- a/Libraries/LibCore/EventLoop.cpp
+++ b/Libraries/LibCore/EventLoop.cpp
@@ -12,7 +12,7 @@
 
 namespace Core {
 
-static constexpr Duration longest_wait = 1s;
+static constexpr Duration max_wait = 1s;
 
 EventLoop::EventLoop()
     : wake_descriptor(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC))
@@ -29,7 +29,7 @@
         this->posted.push_back(std::move(callback));
     }
     u64 one = 1;
-    // A full counter already wakes the loop, so a failed write loses nothing.
+    // The write fails only when the counter is full, and then the loop is already due to run.
     [[maybe_unused]] auto written = write(this->wake_descriptor, &one, sizeof(one));
 }
 
@@ -77,7 +77,7 @@
         auto timer = this->timers.top();
         this->timers.pop();
         timer.callback();
-        // A loop that was held up does not run the missed beats one after another.
+        // After a stall, the missed periods are skipped instead of being run in a burst.
         if (timer.period > 0s)
             this->add_timer(std::max(timer.due + timer.period, now), timer.period, std::move(timer.callback));
     }
@@ -97,9 +97,9 @@
 Duration EventLoop::time_until_next_timer() const
 {
     if (this->timers.empty())
-        return longest_wait;
+        return max_wait;
     auto left = this->timers.top().due - AK::BootClock::now();
-    return std::clamp<Duration>(left, 0s, longest_wait);
+    return std::clamp<Duration>(left, 0s, max_wait);
 }
 
 void EventLoop::wait_for_work()
@@ -108,7 +108,7 @@
     items.push_back(zmq::pollitem_t { nullptr, this->wake_descriptor, ZMQ_POLLIN, 0 });
     for (auto& watch : this->watches)
         items.push_back(zmq::pollitem_t { watch.socket.handle(), 0, ZMQ_POLLIN, 0 });
-    // Rounded up, so that a timer due in less than a millisecond does not spin the loop.
+    // Rounded up, so that the loop does not spin while a timer is due in less than a millisecond.
     auto wait = std::chrono::ceil<std::chrono::milliseconds>(this->time_until_next_timer());
     zmq::poll(items, wait);
     if (items[0].revents & ZMQ_POLLIN) {
--- a/Libraries/LibCore/EventLoop.h
+++ b/Libraries/LibCore/EventLoop.h
@@ -16,8 +16,8 @@
 
 namespace Core {
 
-/// The one loop of a process. Every table is read and changed on its thread only; other threads hand it
-/// closures through post().
+/// The event loop of a process. All tables are accessed on its thread only; other threads pass closures to it through
+/// post().
 class EventLoop {
 public:
     using Callback = std::function<void()>;
@@ -27,18 +27,19 @@
     EventLoop(EventLoop const&) = delete;
     EventLoop& operator=(EventLoop const&) = delete;
 
-    /// Runs `callback` on the loop's thread. May be called from any thread; closures of one thread keep their order.
+    /// Queues `callback` to run on the loop's thread. May be called from any thread; callbacks posted by one thread run
+    /// in the order of their posting.
     void post(Callback callback);
-    /// Runs `callback` each `period` from now on. Loop thread, or before run().
+    /// Runs `callback` once per `period`. Loop thread, or before run().
     void every(Duration period, Callback callback);
     /// Runs `callback` once after `delay`. Loop thread, or before run().
     void after(Duration delay, Callback callback);
     /// Calls `on_readable` while `socket` has messages. Loop thread, or before run().
     void watch(zmq::socket_ref socket, Callback on_readable);
 
-    /// Serves until stop().
+    /// Runs the loop until stop().
     void run();
-    /// Ends run() after the closure that is running. May be called from any thread.
+    /// Makes run() return after the current callback. May be called from any thread.
     void stop();
 
 private:
--- a/Libraries/LibCore/HandlerGuard.h
+++ b/Libraries/LibCore/HandlerGuard.h
@@ -11,12 +11,12 @@
 
 namespace Core {
 
-/// Keeps completion handlers that refer to an object from running once the object is gone. Cancelling a timer or
-/// closing a socket is not enough for that: a completion that is in the loop's queue already still comes, and as a
-/// success. To be a member of the object.
+/// Prevents completion handlers that refer to an object from running after the object's destruction. Cancelling a timer
+/// or closing a socket does not suffice: a completion that is already in the loop's queue still runs, and reports
+/// success. The guard must be a member of the object.
 class HandlerGuard {
 public:
-    /// The handler, to be handed to the loop in its place.
+    /// Wraps `handler` in a function that does nothing once the guard is destroyed.
     template<typename Handler>
     [[nodiscard]] auto wrap(Handler handler) const
     {
--- a/Libraries/LibCore/HybridClock.h
+++ b/Libraries/LibCore/HybridClock.h
@@ -12,14 +12,15 @@
 
 namespace Core {
 
-/// A stamp that orders events of many processes: never before what the process had seen when it was made.
+/// A timestamp that orders events of several processes. It is later than every timestamp that its process had observed
+/// before.
 struct HybridStamp {
     u64 wall_milliseconds { 0 };
     u32 counter { 0 };
     auto operator<=>(HybridStamp const&) const = default;
 };
 
-/// Hybrid logical clock (Kulkarni et al., 2014): wall time where clocks agree, causal order where they do not.
+/// Hybrid logical clock (Kulkarni et al., 2014): follows wall time, and keeps causal order when wall clocks differ.
 class HybridClock {
 public:
     HybridStamp tick(u64 wall_now)
@@ -31,16 +32,16 @@
         return this->last;
     }
 
-    /// Takes in the stamp of a received message. Stamps from far ahead are cut to `furthest_ahead_milliseconds`, so
-    /// that one host with a wrong clock does not drag every other one along.
+    /// Merges the timestamp of a received message. Timestamps more than `max_skew_milliseconds` ahead are clamped, so
+    /// that a host with a wrong clock cannot advance the clocks of all others.
     void observe(HybridStamp received, u64 wall_now)
     {
-        received.wall_milliseconds = std::min(received.wall_milliseconds, wall_now + furthest_ahead_milliseconds);
+        received.wall_milliseconds = std::min(received.wall_milliseconds, wall_now + max_skew_milliseconds);
         this->last = std::max(this->last, received);
     }
 
 private:
-    static constexpr u64 furthest_ahead_milliseconds = 60'000;
+    static constexpr u64 max_skew_milliseconds = 60'000;
     HybridStamp last;
 };
 
--- a/Libraries/LibCore/Mailbox.h
+++ b/Libraries/LibCore/Mailbox.h
@@ -14,7 +14,7 @@
 
 namespace Core {
 
-/// A queue of typed messages from the loop to one edge thread.
+/// A blocking queue of messages from the event loop to one connection thread.
 template<typename Message>
 class Mailbox {
 public:
@@ -27,11 +27,11 @@
         this->arrived.notify_one();
     }
 
-    /// Waits for the next message; empty when none came within `patience`.
-    std::optional<Message> take(Duration patience)
+    /// Waits for the next message. Returns nothing if none arrives within `timeout`.
+    std::optional<Message> take(Duration timeout)
     {
         std::unique_lock lock(this->mutex);
-        if (!this->arrived.wait_for(lock, patience, [this] { return !this->messages.empty(); }))
+        if (!this->arrived.wait_for(lock, timeout, [this] { return !this->messages.empty(); }))
             return std::nullopt;
         auto message = std::move(this->messages.front());
         this->messages.pop_front();
--- a/Libraries/LibCore/Metrics.cpp
+++ b/Libraries/LibCore/Metrics.cpp
@@ -9,19 +9,19 @@
 
 namespace Core {
 
-static constexpr double smallest_seconds = 1e-4;
-static constexpr double largest_seconds = 1e3;
+static constexpr double min_seconds = 1e-4;
+static constexpr double max_seconds = 1e3;
 static constexpr unsigned bucket_count = 140;
 
 LatencyHistogram::LatencyHistogram()
-    : histogram(boost::histogram::make_histogram(Axis(bucket_count, smallest_seconds, largest_seconds)))
+    : histogram(boost::histogram::make_histogram(Axis(bucket_count, min_seconds, max_seconds)))
 {
 }
 
 void LatencyHistogram::record(Duration duration)
 {
     auto seconds = AK::to_seconds(duration);
-    this->histogram(std::max(seconds, smallest_seconds));
+    this->histogram(std::max(seconds, min_seconds));
     this->total_seconds += seconds;
     ++this->total_count;
 }
@@ -46,7 +46,7 @@
         if (static_cast<double>(bucket.cumulative_count) >= wanted)
             return bucket.upper_seconds;
     }
-    return largest_seconds;
+    return max_seconds;
 }
 
 void Metrics::add(std::string const& counter, u64 amount)
--- a/Libraries/LibCore/Metrics.h
+++ b/Libraries/LibCore/Metrics.h
@@ -16,12 +16,12 @@
 
 namespace Core {
 
-/// Durations from 0.1 ms to 1,000 s on a logarithmic axis.
+/// A histogram of durations from 0.1 ms to 1,000 s with logarithmic buckets.
 class LatencyHistogram {
 public:
     LatencyHistogram();
     void record(Duration);
-    /// Upper edge of the bucket that holds the quantile, in seconds; 0 when empty.
+    /// Returns the upper bound of the bucket that contains the quantile, in seconds; 0 if the histogram is empty.
     [[nodiscard]] double quantile_seconds(double quantile) const;
     [[nodiscard]] u64 count() const { return this->total_count; }
     [[nodiscard]] double sum_seconds() const { return this->total_seconds; }
@@ -39,14 +39,14 @@
     double total_seconds { 0 };
 };
 
-/// The metrics of one process: names are created at first use. Thread safe.
+/// The metrics of one process. A metric is created at its first use. Thread safe.
 class Metrics {
 public:
     void add(std::string const& counter, u64 amount = 1);
     void set(std::string const& gauge, double value);
     void observe(std::string const& histogram, Duration);
     [[nodiscard]] u64 counter(std::string const& name) const;
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/Libraries/LibCore/Parallel.h
+++ b/Libraries/LibCore/Parallel.h
@@ -15,7 +15,7 @@
 
 namespace Core {
 
-/// Calls `work` with each number below `count`, on all processors, and returns when all is done.
+/// Calls `work` with each number below `count`, on one thread per processor, and returns when all calls are done.
 template<std::invocable<size_t> Work>
 void run_in_parallel(size_t count, Work const& work)
 {
--- a/Libraries/LibCore/Settings.cpp
+++ b/Libraries/LibCore/Settings.cpp
@@ -57,22 +57,22 @@
     return node;
 }
 
-void SettingsReader::complain(YAML::Node const& node, std::string const& key, std::string const& remedy)
+void SettingsReader::add_error_at(YAML::Node const& node, std::string const& key, std::string const& remedy)
 {
     auto line = node.IsDefined() ? node.Mark().line + 1 : 1;
-    this->complaints.push_back(this->name + ':' + std::to_string(line) + ": " + key + ": " + remedy);
+    this->errors.push_back(this->name + ':' + std::to_string(line) + ": " + key + ": " + remedy);
 }
 
 void SettingsReader::add_error(std::string const& key, std::string const& remedy)
 {
-    this->complain(this->find(key), key, remedy);
+    this->add_error_at(this->find(key), key, remedy);
 }
 
 std::string SettingsReader::checked_scalar(YAML::Node const& node, std::string const& key)
 {
     if (node.IsScalar())
         return node.Scalar();
-    this->complain(node, key, "expected a single value");
+    this->add_error_at(node, key, "expected a single value");
     return {};
 }
 
@@ -81,7 +81,7 @@
     auto node = this->find(key);
     if (node.IsDefined())
         return this->checked_scalar(node, key);
-    this->complain(node, key, "is missing; add it");
+    this->add_error_at(node, key, "is missing; add it");
     return {};
 }
 
@@ -98,7 +98,7 @@
     if (!node.IsDefined())
         return result;
     if (!node.IsSequence()) {
-        this->complain(node, key, "expected a list; write [a, b]");
+        this->add_error_at(node, key, "expected a list; write [a, b]");
         return result;
     }
     for (auto const& item : node)
@@ -113,7 +113,7 @@
         return fallback;
     auto parsed = parse_duration(this->checked_scalar(node, key));
     if (!parsed) {
-        this->complain(node, key, "expected a duration with its unit, such as 250ms, 2s or 5m");
+        this->add_error_at(node, key, "expected a duration with its unit, such as 250ms, 2s or 5m");
         return fallback;
     }
     return *parsed;
@@ -128,15 +128,15 @@
     return value;
 }
 
-i64 SettingsReader::whole_number_or(std::string const& key, i64 fallback, i64 smallest, i64 largest)
+i64 SettingsReader::whole_number_or(std::string const& key, i64 fallback, i64 min, i64 max)
 {
     auto node = this->find(key);
     if (!node.IsDefined())
         return fallback;
     auto value = parse_whole_number(this->checked_scalar(node, key));
-    if (!value || *value < smallest || *value > largest) {
-        this->complain(
-            node, key, "expected a whole number from " + std::to_string(smallest) + " to " + std::to_string(largest));
+    if (!value || *value < min || *value > max) {
+        this->add_error_at(
+            node, key, "expected a whole number from " + std::to_string(min) + " to " + std::to_string(max));
         return fallback;
     }
     return *value;
@@ -149,7 +149,7 @@
         return fallback;
     auto value = this->checked_scalar(node, key);
     if (value != "true" && value != "false")
-        this->complain(node, key, "expected true or false");
+        this->add_error_at(node, key, "expected true or false");
     return value == "true";
 }
 
@@ -157,7 +157,7 @@
 {
     auto value = this->text(key);
     if (!value.empty() && !is_address(value))
-        this->complain(this->find(key), key, "expected an IP number and port, such as 10.0.0.7:8080");
+        this->add_error_at(this->find(key), key, "expected an IP number and port, such as 10.0.0.7:8080");
     return value;
 }
 
@@ -166,35 +166,35 @@
     auto values = this->text_list(key);
     for (auto const& value : values) {
         if (!is_address(value))
-            this->complain(this->find(key), key, "expected IP numbers and ports, such as [10.0.0.7:8080]");
+            this->add_error_at(this->find(key), key, "expected IP numbers and ports, such as [10.0.0.7:8080]");
     }
     return values;
 }
 
-void SettingsReader::complain_of_unknown_keys(YAML::Node const& node, std::string const& prefix)
+void SettingsReader::report_unknown_keys(YAML::Node const& node, std::string const& prefix)
 {
     for (auto const& entry : node) {
         auto key = prefix + entry.first.Scalar();
         if (this->known_keys.contains(key))
             continue;
         if (entry.second.IsMap())
-            this->complain_of_unknown_keys(entry.second, key + '.');
+            this->report_unknown_keys(entry.second, key + '.');
         else
-            this->complain(entry.first, key, "is not a setting of this program; remove it or correct its name");
+            this->add_error_at(entry.first, key, "is not a setting of this program; remove it or correct its name");
     }
 }
 
 Result<void> SettingsReader::finish()
 {
     if (this->root.IsMap())
-        this->complain_of_unknown_keys(this->root, "");
+        this->report_unknown_keys(this->root, "");
     else
-        this->complain(this->root, "settings", "expected a map of settings");
-    if (this->complaints.empty())
+        this->add_error_at(this->root, "settings", "expected a map of settings");
+    if (this->errors.empty())
         return success();
     std::string message;
-    for (auto const& complaint : this->complaints)
-        message += (message.empty() ? "" : "\n") + complaint;
+    for (auto const& error : this->errors)
+        message += (message.empty() ? "" : "\n") + error;
     return Error { ErrorKind::InvalidSettings, message };
 }
 
@@ -205,15 +205,15 @@
         return std::nullopt;
     auto number = parse_whole_number(text.substr(0, unit_start));
     auto unit = text.substr(unit_start);
-    // Durations of more than a year are surely a wrong unit, and would overflow.
-    constexpr i64 largest_number = 31'536'000'000;
-    if (!number || *number > largest_number)
+    // A year in milliseconds. Longer durations would overflow, and stem from a wrong unit.
+    constexpr i64 max_number = 31'536'000'000;
+    if (!number || *number > max_number)
         return std::nullopt;
     if (unit == "ms")
         return std::chrono::milliseconds(*number);
-    if (unit == "s" && *number <= largest_number / 1000)
+    if (unit == "s" && *number <= max_number / 1000)
         return std::chrono::seconds(*number);
-    if (unit == "m" && *number <= largest_number / 60'000)
+    if (unit == "m" && *number <= max_number / 60'000)
         return std::chrono::minutes(*number);
     return std::nullopt;
 }
--- a/Libraries/LibCore/Settings.h
+++ b/Libraries/LibCore/Settings.h
@@ -16,43 +16,44 @@
 
 namespace Core {
 
-/// Reads one YAML settings file and checks it as a whole: every complaint names file, line, key and remedy, and a
-/// key that nothing read is a complaint too. Keys are dotted paths, such as "gateway.listen".
+/// Reads and validates one YAML settings file. Errors are collected, so that one run reports all of them, and each
+/// names file, line, key and remedy. A key that the program did not read is an error, too. Keys are dotted paths, such
+/// as "gateway.listen".
 class SettingsReader {
 public:
     static Result<SettingsReader> load(std::string const& path);
     static Result<SettingsReader> parse(std::string const& name, std::string const& text);
 
-    /// The value at `key`; complains when it is missing.
+    /// Returns the value at `key`. A missing key is an error.
     std::string text(std::string const& key);
     std::string text_or(std::string const& key, std::string fallback);
     std::vector<std::string> text_list(std::string const& key);
-    /// A number with a unit: "250ms", "2s" or "5m".
+    /// Reads a number with a unit: "250ms", "2s" or "5m".
     Duration duration_or(std::string const& key, Duration fallback);
-    i64 whole_number_or(std::string const& key, i64 fallback, i64 smallest, i64 largest);
+    i64 whole_number_or(std::string const& key, i64 fallback, i64 min, i64 max);
     bool flag_or(std::string const& key, bool fallback);
-    /// "ip:port".
+    /// Reads a required "ip:port".
     std::string address(std::string const& key);
     std::vector<std::string> address_list(std::string const& key);
 
-    /// Adds a complaint of the caller's own about `key`.
+    /// Records an error about `key` that the caller found.
     void add_error(std::string const& key, std::string const& remedy);
 
-    /// Success, or one error that lists every complaint.
+    /// Returns success, or one error that lists all errors found.
     [[nodiscard]] Result<void> finish();
 
 private:
     SettingsReader(std::string name, YAML::Node root);
 
     YAML::Node find(std::string const& key);
-    void complain(YAML::Node const& node, std::string const& key, std::string const& remedy);
-    void complain_of_unknown_keys(YAML::Node const& node, std::string const& prefix);
+    void add_error_at(YAML::Node const& node, std::string const& key, std::string const& remedy);
+    void report_unknown_keys(YAML::Node const& node, std::string const& prefix);
     std::string checked_scalar(YAML::Node const& node, std::string const& key);
 
     std::string name;
     YAML::Node root;
     std::set<std::string> known_keys;
-    std::vector<std::string> complaints;
+    std::vector<std::string> errors;
 };
 
 /// Parses "250ms", "2s" or "5m".
--- a/Libraries/LibCore/StopSignal.h
+++ b/Libraries/LibCore/StopSignal.h
@@ -10,15 +10,16 @@
 
 namespace Core {
 
-/// SIGTERM and SIGINT, which tell a process to stop. Blocks both in the whole process, so make it before any thread
-/// starts. SIGPIPE is ignored: a peer that closes its connection must not end the process.
+/// Waits for SIGTERM or SIGINT, the requests to stop the process. The constructor blocks both signals in the calling
+/// thread and all threads that it starts later, so construct it before any thread starts. It also ignores SIGPIPE, so
+/// that a peer that closes its connection does not terminate the process.
 class StopSignal {
 public:
     StopSignal();
 
-    /// Returns when the process is told to stop.
+    /// Blocks until one of the signals arrives.
     void wait();
-    /// Waits on a thread of its own and calls `on_stop` there.
+    /// Waits on a new, detached thread and calls `on_stop` there.
     void watch(std::function<void()> on_stop);
 };
 
--- a/Libraries/LibCore/StructuredLog.cpp
+++ b/Libraries/LibCore/StructuredLog.cpp
@@ -12,8 +12,8 @@
 
 namespace Core {
 
-/// What one write hands to a pipe that is writable. Linux reports a pipe as writable when a page of it is free, which
-/// is so much.
+/// Maximum bytes of one write. Linux reports a pipe as writable when at least a page of it is free, so a write of one
+/// page does not block.
 static constexpr size_t safe_write_bytes = 4096;
 
 StructuredLog::StructuredLog(Sink sink, double lines_per_second)
@@ -43,7 +43,7 @@
 StructuredLog::Line::~Line()
 {
     if (this->log)
-        this->log->take(std::move(this->text));
+        this->log->enqueue(std::move(this->text));
 }
 
 void StructuredLog::Line::append_text(std::string_view key, std::string_view value)
@@ -88,15 +88,15 @@
     return true;
 }
 
-void StructuredLog::take(std::string line)
+void StructuredLog::enqueue(std::string line)
 {
-    if (this->waiting.size() + line.size() >= max_pending_bytes) {
+    if (this->pending.size() + line.size() >= max_pending_bytes) {
         ++this->dropped_since_report;
         ++this->dropped_total;
         return;
     }
-    this->waiting += line;
-    this->waiting += '\n';
+    this->pending += line;
+    this->pending += '\n';
 }
 
 void StructuredLog::flush()
@@ -105,11 +105,11 @@
         auto count = std::exchange(this->dropped_since_report, 0);
         this->event(EventNumber::LogLinesDropped, "log").with("lines", count);
     }
-    while (!this->waiting.empty()) {
-        auto written = this->sink(this->waiting);
+    while (!this->pending.empty()) {
+        auto written = this->sink(this->pending);
         if (written == 0)
             return;
-        this->waiting.erase(0, written);
+        this->pending.erase(0, written);
     }
 }
 
--- a/Libraries/LibCore/StructuredLog.h
+++ b/Libraries/LibCore/StructuredLog.h
@@ -16,25 +16,25 @@
 
 namespace Core {
 
-/// Structured lines for whoever has to explain a failure later: one line an event, as key=value pairs, to standard
-/// output. The volume is bounded by a rate, and a reader that stalls costs lines instead of time; what was dropped is
-/// counted in the log itself. Loop thread only.
+/// Writes one line of key=value pairs per event, for the analysis of failures. The rate of lines is limited, and a
+/// stalled reader causes dropped lines instead of delays; the log itself reports the number of dropped lines. Loop
+/// thread only.
 class StructuredLog {
 public:
-    /// Takes the bytes that it can without waiting and returns their number, like write(2).
+    /// Writes as many bytes as it can without blocking and returns their number, like write(2).
     using Sink = std::function<size_t(std::string_view)>;
 
-    /// Lines a second in the long run, from 4 lines a request at twice a host's share of the peak (about 6 requests/s),
-    /// with room for a client that repeats without pause.
+    /// Sustained rate in lines per second. A host's share of the peak is about 6 requests/s; at 4 lines per request,
+    /// the rate covers twice that share and leaves headroom for a client that retries without delay.
     static constexpr double default_lines_per_second = 200;
-    /// Lines that may come at once: five seconds' worth.
+    /// Lines that may be written in a burst: five seconds at the default rate.
     static constexpr double burst_lines = 1000;
-    /// Bytes that may wait for a stalled reader.
+    /// Limit of the bytes that are buffered while the reader stalls.
     static constexpr size_t max_pending_bytes = 256 << 10;
 
     explicit StructuredLog(Sink sink, double lines_per_second = default_lines_per_second);
 
-    /// One line under way; it is written when this goes out of scope.
+    /// A line under construction. The destructor passes it to the log.
     class Line {
     public:
         Line(StructuredLog* log, EventNumber number, std::string_view subject);
@@ -71,27 +71,27 @@
         std::string text;
     };
 
-    /// Begins a line about `subject`, which is a request, a backend server or a revision.
+    /// Starts a line about `subject`, which is the id of a request, a backend server or a revision.
     Line event(EventNumber number, std::string_view subject);
-    /// Hands waiting lines to the sink. Call it on a short timer and before the process ends.
+    /// Passes buffered lines to the sink. To be called on a short timer and before the process ends.
     void flush();
-    /// Lines dropped since the start, by the rate or for want of a reader.
+    /// Lines dropped since the start because of the rate limit or a stalled reader.
     [[nodiscard]] u64 dropped_lines() const { return this->dropped_total; }
 
 private:
     bool admit(Instant now);
-    void take(std::string line);
+    void enqueue(std::string line);
 
     Sink sink;
     double lines_per_second;
     double allowance { burst_lines };
     Instant last_refill {};
-    std::string waiting;
+    std::string pending;
     u64 dropped_since_report { 0 };
     u64 dropped_total { 0 };
 };
 
-/// Writes to standard output without ever waiting for its reader.
+/// Writes to standard output without blocking. Returns the number of bytes written.
 size_t write_to_standard_output(std::string_view);
 
 }
