--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -17,14 +17,14 @@
 
 namespace Platform {
 
-/// Rows of one moment, in the order of their keys; the version is the table service's at that moment.
+/// One page of a consistent listing, ordered by key. The version is the table service's at the time of the read.
 struct RowPage {
     std::vector<Row> rows;
     bool more { false };
     u64 version { 0 };
 };
 
-/// Where the page behind this row begins.
+/// Returns the first key of the page that follows this row.
 inline std::string key_after(Row const& row) { return row.key + '\x01'; }
 
 struct RowChange {
@@ -37,8 +37,9 @@
     u64 version { 0 };
 };
 
-/// Asynchronous reads of a table service that tells of changes. Each call answers exactly once, within `patience`.
-/// Errors: PlatformUnavailable; HistoryLost when changes since the version are not kept any more.
+/// Asynchronous reads of a table service that reports changes. Each call invokes its callback exactly once, within the
+/// last duration given (the timeout). The first duration of changes() is how long the service may hold the call.
+/// Errors: PlatformUnavailable; HistoryLost if the changes after the version are no longer stored.
 template<typename T>
 concept ChangeSource = requires(T& source, std::string const& table, u64 version, Duration duration,
     std::function<void(Result<RowPage>)> on_page, std::function<void(Result<ChangePage>)> on_changes)
@@ -47,69 +48,70 @@
     source.changes(table, version, duration, duration, on_changes);
 };
 
-/// Asynchronous writes of single rows. Answers once, within `patience`.
+/// Asynchronous writes of single rows. Each call invokes its callback exactly once, within `timeout`.
 template<typename T>
 concept RowWriter
-    = requires(T& store, std::string const& text, Duration patience, std::function<void(Result<void>)> on_done)
+    = requires(T& store, std::string const& text, Duration timeout, std::function<void(Result<void>)> on_done)
 {
-    store.put(text, text, text, patience, on_done);
-    store.remove(text, text, patience, on_done);
+    store.put(text, text, text, timeout, on_done);
+    store.remove(text, text, timeout, on_done);
 };
 
 struct FollowerTiming {
-    /// How long the platform may hold a call that waits for changes. It bounds how long a lost answer goes unnoticed.
+    /// How long the platform may hold a call that waits for changes. Limits the time until a lost response is detected.
     Duration wait { 2s };
-    /// How long beyond that an answer may take; a slow store takes some hundred milliseconds.
+    /// Time that a response may publish in addition to `wait`. A slow store takes a few hundred milliseconds.
     Duration response_timeout { 1s };
-    /// Pause before a call that failed is made again; it doubles up to the limit. Refused calls cost the platform too,
-    /// and meanwhile changes are heard from other processes.
+    /// Delay before a failed call is retried; it doubles up to the maximum. Failed calls load the platform as well, and
+    /// other processes forward changes in the meantime.
     Duration initial_retry_delay { 50ms };
     Duration max_retry_delay { 1s };
-    /// Between an answer with changes and the next call: changes that come together are then read with one call.
+    /// Delay between a response with changes and the next call, so that one call reads a group of changes.
     Duration delay_after_changes { 0ms };
-    /// Between the calls of a follower that is there for when another one fails.
+    /// Interval between the calls of a standby follower.
     Duration standby_period { 1s };
-    /// How long changes that others know are awaited from them before the platform is asked. After a quarter of it
-    /// others are asked for what they know.
+    /// How long to wait for changes that other processes know before the platform is queried. After a quarter of this
+    /// time, the missed changes are requested from the other processes.
     Duration peer_update_timeout { 0ms };
 };
 
-/// What a follower asks the platform for.
+/// How a follower queries the platform.
 enum class Following : u8 {
-    /// Nothing but what it has missed: it hears changes from elsewhere.
+    /// Only for changes that it missed; other processes forward the changes to it.
     None,
-    /// Changes since its last call, now and then: for when who follows promptly fails.
+    /// Periodically, as a fallback for the failure of the process that follows promptly.
     Standby,
-    /// Each change at once.
+    /// Continuously, with calls that the platform holds until a change occurs.
     Prompt,
 };
 
-/// Changes of a table, as one process tells them to others that do not read it themselves.
+/// Changes of a table, in the form in which one process forwards them to others.
 struct TableUpdate {
-    /// Version of the newest change before these.
+    /// Version of the last change before the ones in `page`.
     u64 previous_change { 0 };
     ChangePage page;
 };
 
-/// What a follower tells. All on the loop.
+/// Callbacks of a follower. All run on the event loop.
 struct FollowerObserver {
-    /// The table as a whole, at the start and whenever changes may have been missed.
+    /// Passes the full table, after the start and whenever changes may have been missed.
     std::function<void(std::vector<Row>, u64 version)> listed;
     std::function<void(std::vector<RowChange>, u64 version)> changed;
-    /// Changes that the platform itself has told, for others. After `changed`.
+    /// Passes changes that the platform itself returned, to be forwarded to other processes. Called after `changed`.
     std::function<void(TableUpdate const&)> fetched { [](TableUpdate const&) {} };
-    /// Changes after this version, which others know, have not come: they may be asked for them.
+    /// Other processes know changes after this version that have not arrived here, so they may be requested from them.
     std::function<void(u64 known_version)> missed { [](u64) {} };
-    /// The first failed call after a good one, and the first good one after a failure.
+    /// Called at the first failed call after a success, and at the first success after a failure.
     std::function<void(Error const&)> unavailable;
     std::function<void()> available;
-    /// Asked before a failed call is made again. Of several followers of one platform one is enough to find out that it
-    /// answers again.
+    /// Returns whether a failed call may be retried. If several followers use one platform, it is enough that one of
+    /// them detects its recovery.
     std::function<bool()> may_retry { [] { return true; } };
 };
 
-/// Keeps up with one table: reads it as a whole, then follows its changes, and reads it again when history was lost.
-/// A follower that does not follow takes changes from elsewhere, and asks the platform only for what it has missed.
+/// Tracks one table: lists it in full, then follows its changes, and lists it again when the history is lost.
+/// With Following::None, it applies the updates that other processes forward, and queries the platform only for updates
+/// that it missed.
 template<ChangeSource Source>
 class ChangeFollower {
 public:
@@ -120,8 +122,8 @@
         , observer(std::move(observer))
         , timing(timing)
         , retry_timer(loop)
-        , pace_timer(loop)
-        , patience_timer(loop)
+        , delay_timer(loop)
+        , peer_timer(loop)
         , retry_delay(timing.initial_retry_delay)
     {
     }
@@ -137,25 +139,25 @@
         auto const before = std::exchange(this->following, now_following);
         if (before == now_following)
             return;
-        // A pause that was meant for the former pace is over.
-        if (std::exchange(this->is_pausing, false))
-            this->pace_timer.cancel();
+        // The delay was computed for the former mode.
+        if (std::exchange(this->is_delayed, false))
+            this->delay_timer.cancel();
         if (!this->is_calling)
-            this->call_again();
+            this->schedule_next_call();
     }
 
-    /// Changes from elsewhere.
-    void receive_update(TableUpdate news)
+    /// Applies an update from another process. An update that arrives before its predecessor is buffered.
+    void receive_update(TableUpdate update)
     {
-        if (!this->is_listed || news.page.version <= this->known_version)
+        if (!this->is_listed || update.page.version <= this->known_version)
             return;
-        if (news.previous_change > this->known_version)
-            return this->keep_early(std::move(news));
-        this->take_news(std::move(news));
-        this->take_early();
+        if (update.previous_change > this->known_version)
+            return this->buffer_early_update(std::move(update));
+        this->apply_update(std::move(update));
+        this->apply_early_updates();
     }
 
-    /// A change of this version is known to exist.
+    /// Records that a change of this version exists, and fetches it if it does not arrive.
     void catch_up(u64 version)
     {
         this->wanted_version = std::max(this->wanted_version, version);
@@ -163,32 +165,32 @@
             return;
         if (this->timing.peer_update_timeout <= 0s)
             return this->follow(0s);
-        if (this->is_patient)
+        if (this->is_waiting_for_peers)
             return;
-        this->wait_for_others(this->timing.peer_update_timeout / 4, [this] {
+        this->wait_for_peers(this->timing.peer_update_timeout / 4, [this] {
             this->observer.missed(this->known_version);
-            this->wait_for_others(this->timing.peer_update_timeout * 3 / 4, [this] { this->follow(0s); });
+            this->wait_for_peers(this->timing.peer_update_timeout * 3 / 4, [this] { this->follow(0s); });
         });
     }
 
-    /// Version of the newest change that is known; 0 before the table has been read.
+    /// Version of the newest known change; 0 before the table has been listed.
     [[nodiscard]] u64 last_change() const { return this->newest_change; }
     [[nodiscard]] u64 version() const { return this->known_version; }
     [[nodiscard]] bool is_reachable() const { return this->reachable; }
 
 private:
-    /// News that wait for those before them; more are read from the platform.
-    static constexpr size_t most_early_news = 64;
+    /// Maximum number of buffered updates. Further ones are dropped, and fetched from the platform later.
+    static constexpr size_t max_early_updates = 64;
 
     void list_from(std::string const& first_key)
     {
         if (first_key.empty())
             this->listing.clear();
         this->source.list(this->table, first_key, this->timing.response_timeout,
-            [this](Result<RowPage> page) { this->page_arrived(std::move(page)); });
+            [this](Result<RowPage> page) { this->handle_page(std::move(page)); });
     }
 
-    void page_arrived(Result<RowPage> page)
+    void handle_page(Result<RowPage> page)
     {
         if (!page)
             return this->retry(page.error(), [this] { this->list_from({}); });
@@ -199,61 +201,61 @@
         if (value.more && !this->listing.empty())
             return this->list_from(key_after(this->listing.back()));
         if (this->listing_version < this->known_version)
-            return this->retry(stale_answer(), [this] { this->list_from({}); });
-        this->note_success();
+            return this->retry(stale_response(), [this] { this->list_from({}); });
+        this->record_success();
         this->known_version = this->listing_version;
         this->is_listed = true;
         this->newest_change = 0;
         for (auto const& row : this->listing)
             this->newest_change = std::max(this->newest_change, row.version);
         this->observer.listed(std::exchange(this->listing, {}), this->known_version);
-        this->call_again();
+        this->schedule_next_call();
     }
 
-    /// Does `then` after `patience` if what others know has not come by then.
+    /// Calls `then` after `timeout`, unless the missing changes have arrived by then.
     template<typename Then>
-    void wait_for_others(Duration patience, Then then)
+    void wait_for_peers(Duration timeout, Then then)
     {
-        this->is_patient = true;
-        this->patience_timer.expires_after(patience);
-        this->patience_timer.async_wait([this, then](boost::system::error_code error) {
-            this->is_patient = false;
+        this->is_waiting_for_peers = true;
+        this->peer_timer.expires_after(timeout);
+        this->peer_timer.async_wait([this, then](boost::system::error_code error) {
+            this->is_waiting_for_peers = false;
             if (!error && this->wanted_version > this->known_version && !this->is_calling)
                 then();
         });
     }
 
-    void take_news(TableUpdate news)
+    void apply_update(TableUpdate update)
     {
         std::erase_if(
-            news.page.changes, [this](RowChange const& change) { return change.row.version <= this->known_version; });
-        this->known_version = news.page.version;
-        this->note_last_change(news.page);
-        if (!news.page.changes.empty())
-            this->observer.changed(std::move(news.page.changes), this->known_version);
+            update.page.changes, [this](RowChange const& change) { return change.row.version <= this->known_version; });
+        this->known_version = update.page.version;
+        this->record_last_change(update.page);
+        if (!update.page.changes.empty())
+            this->observer.changed(std::move(update.page.changes), this->known_version);
     }
 
-    /// News that come by different ways may overtake each other. Those that came too early wait for what they follow.
-    void keep_early(TableUpdate news)
+    /// Updates from different senders may arrive out of order. An early one is buffered until its predecessor arrives.
+    void buffer_early_update(TableUpdate update)
     {
-        auto const version = news.page.version;
-        if (this->early_news.size() < most_early_news)
-            this->early_news.push_back(std::move(news));
+        auto const version = update.page.version;
+        if (this->early_updates.size() < max_early_updates)
+            this->early_updates.push_back(std::move(update));
         this->catch_up(version);
     }
 
-    void take_early()
+    void apply_early_updates()
     {
         while (true) {
-            std::erase_if(
-                this->early_news, [this](TableUpdate const& news) { return news.page.version <= this->known_version; });
-            auto next = std::ranges::find_if(this->early_news,
-                [this](TableUpdate const& news) { return news.previous_change <= this->known_version; });
-            if (next == this->early_news.end())
+            std::erase_if(this->early_updates,
+                [this](TableUpdate const& update) { return update.page.version <= this->known_version; });
+            auto next = std::ranges::find_if(this->early_updates,
+                [this](TableUpdate const& update) { return update.previous_change <= this->known_version; });
+            if (next == this->early_updates.end())
                 return;
-            auto news = std::move(*next);
-            this->early_news.erase(next);
-            this->take_news(std::move(news));
+            auto update = std::move(*next);
+            this->early_updates.erase(next);
+            this->apply_update(std::move(update));
         }
     }
 
@@ -262,16 +264,16 @@
         this->is_calling = true;
         this->version_of_call = this->known_version;
         this->source.changes(this->table, this->known_version, wait, wait + this->timing.response_timeout,
-            [this](Result<ChangePage> page) { this->changes_arrived(std::move(page)); });
+            [this](Result<ChangePage> page) { this->handle_changes(std::move(page)); });
     }
 
-    /// After a call that went well: the next one, if there is a reason for it.
-    void call_again(bool changes_came = false)
+    /// Starts or schedules the next call after a successful one, if the mode or a missed change requires it.
+    void schedule_next_call(bool has_changes = false)
     {
         this->is_calling = false;
         if (!this->is_listed)
             return;
-        if (this->following == Following::Prompt && changes_came && this->timing.delay_after_changes > 0s)
+        if (this->following == Following::Prompt && has_changes && this->timing.delay_after_changes > 0s)
             return this->call_after(this->timing.delay_after_changes);
         if (this->following == Following::Prompt)
             return this->follow(this->timing.wait);
@@ -281,12 +283,12 @@
             this->call_after(this->timing.standby_period);
     }
 
-    void call_after(Duration pause)
+    void call_after(Duration delay)
     {
-        this->is_pausing = true;
-        this->pace_timer.expires_after(pause);
-        this->pace_timer.async_wait([this](boost::system::error_code error) {
-            if (error || !std::exchange(this->is_pausing, false) || this->is_calling)
+        this->is_delayed = true;
+        this->delay_timer.expires_after(delay);
+        this->delay_timer.async_wait([this](boost::system::error_code error) {
+            if (error || !std::exchange(this->is_delayed, false) || this->is_calling)
                 return;
             if (this->following != Following::None)
                 this->follow(this->wait_of_call());
@@ -298,49 +300,49 @@
         return this->following == Following::Prompt ? this->timing.wait : Duration(0);
     }
 
-    void changes_arrived(Result<ChangePage> page)
+    void handle_changes(Result<ChangePage> page)
     {
         if (!page && page.error().kind == ErrorKind::HistoryLost) {
-            this->note_success();
+            this->record_success();
             return this->list_from({});
         }
         if (!page)
             return this->retry(page.error(), [this] { this->follow(this->wait_of_call()); });
         auto& value = page.value();
         if (value.version < this->version_of_call)
-            return this->retry(stale_answer(), [this] { this->follow(this->wait_of_call()); });
-        this->note_success();
-        // Some of it may have been heard from elsewhere while the call was under way.
+            return this->retry(stale_response(), [this] { this->follow(this->wait_of_call()); });
+        this->record_success();
+        // Other processes may have forwarded some of the changes during the call.
         std::erase_if(
             value.changes, [this](RowChange const& change) { return change.row.version <= this->known_version; });
         this->known_version = std::max(this->known_version, value.version);
-        bool const changes_came = !value.changes.empty();
-        if (changes_came)
-            this->take(std::move(value));
-        this->take_early();
-        this->call_again(changes_came);
+        bool const has_changes = !value.changes.empty();
+        if (has_changes)
+            this->publish(std::move(value));
+        this->apply_early_updates();
+        this->schedule_next_call(has_changes);
     }
 
-    void take(ChangePage page)
+    void publish(ChangePage page)
     {
-        TableUpdate const news { this->newest_change, page };
-        this->note_last_change(page);
+        TableUpdate const update { this->newest_change, page };
+        this->record_last_change(page);
         this->observer.changed(std::move(page.changes), this->known_version);
-        this->observer.fetched(news);
+        this->observer.fetched(update);
     }
 
-    void note_last_change(ChangePage const& page)
+    void record_last_change(ChangePage const& page)
     {
         for (auto const& change : page.changes)
             this->newest_change = std::max(this->newest_change, change.row.version);
     }
 
-    static Error stale_answer()
+    static Error stale_response()
     {
-        return platform_unavailable("it answered with an older state than it had shown before");
+        return platform_unavailable("the response has an older state than an earlier one");
     }
 
-    void note_success()
+    void record_success()
     {
         this->retry_delay = this->timing.initial_retry_delay;
         if (!std::exchange(this->reachable, true))
@@ -375,8 +377,8 @@
     FollowerObserver observer;
     FollowerTiming timing;
     AK::Timer retry_timer;
-    AK::Timer pace_timer;
-    AK::Timer patience_timer;
+    AK::Timer delay_timer;
+    AK::Timer peer_timer;
     Duration retry_delay;
     std::vector<Row> listing;
     u64 listing_version { 0 };
@@ -384,15 +386,15 @@
     u64 version_of_call { 0 };
     u64 newest_change { 0 };
     u64 wanted_version { 0 };
-    /// A platform that was empty when it was read is at version 0, too.
+    /// Needed besides `known_version`, since a platform that was empty when listed is at version 0, too.
     bool is_listed { false };
     Following following { Following::Prompt };
     bool is_calling { false };
-    /// Until the next call of a follower that does not call at once.
-    bool is_pausing { false };
-    /// Changes that others know are awaited from them.
-    bool is_patient { false };
-    std::vector<TableUpdate> early_news;
+    /// True while the next call waits for `delay_timer`.
+    bool is_delayed { false };
+    /// True while changes are expected from other processes.
+    bool is_waiting_for_peers { false };
+    std::vector<TableUpdate> early_updates;
     bool reachable { true };
 };
 
--- a/Libraries/LibPlatform/ClaimBatch.h
+++ b/Libraries/LibPlatform/ClaimBatch.h
@@ -17,8 +17,8 @@
 
 namespace Platform {
 
-/// A claim to run one call that must not be repeated. Whoever commits the claim first runs the call; the nonce tells
-/// a claim of one's own, whose answer was lost, from another's.
+/// A claim to run one call that must not be repeated. The process that commits the claim first runs the call. The nonce
+/// lets a process recognise its own claim after the response to the commit was lost.
 struct Claim {
     OrganisationId organisation;
     std::string idempotency_key;
@@ -30,23 +30,23 @@
     Granted,
     /// Another nonce holds it: the call has run or may run.
     TakenByOther,
-    /// It could not be found out whether the claim was made. The call must not be dispatched.
+    /// It is unknown whether the claim was committed. The call must not be dispatched.
     Unknown,
-    /// The platform does not answer and the claim was not made.
+    /// The platform is unavailable and the claim was not committed.
     PlatformUnavailable,
 };
 
-/// How long a claim keeps its key from being used again. After it, the same key names a new call.
+/// Lifetime of a claim. Afterwards, the same key identifies a new call.
 static constexpr u64 claim_lifetime_milliseconds = 24ull * 60 * 60 * 1000;
 
 inline std::string claim_key(Claim const& claim)
 {
-    // The length keeps ("a", "b/c") and ("a/b", "c") apart.
+    // The length prefix distinguishes ("a", "b/c") from ("a/b", "c").
     auto const& organisation = claim.organisation.value();
     return "claim/" + std::to_string(organisation.size()) + '/' + organisation + '/' + claim.idempotency_key;
 }
 
-/// "expiry nonce"
+/// Formats the row's value as "expiry nonce".
 inline std::string claim_value(Claim const& claim, u64 wall_now)
 {
     return std::to_string(wall_now + claim_lifetime_milliseconds) + ' ' + claim.nonce;
@@ -65,8 +65,8 @@
     return row.exists() && space != std::string::npos && row.value.substr(space + 1) == nonce;
 }
 
-/// Deletes claims whose lifetime is over among the `limit` rows after `after`, in one transaction, and returns the key
-/// to go on after; empty at the end. Best effort: what stays is found the next time.
+/// Deletes expired claims among the `limit` rows after the key `after`, in one transaction. Returns the key after which
+/// to continue, or an empty string at the end. Best effort: the next sweep finds claims that remain.
 template<TableStore Store>
 std::string sweep_claims(Store& store, std::string const& after, size_t limit, u64 wall_now)
 {
@@ -85,8 +85,8 @@
     return rows.value().size() < limit ? std::string() : rows.value().back().key;
 }
 
-/// Makes many claims in few transactions, and says for each what came of it. Blocks. The answers are in the order of
-/// the claims. Claims with the same key in one batch are granted to at most one of them.
+/// Commits many claims in few transactions. Blocks. Of several claims with the same key in one batch, at most one is
+/// granted.
 template<TableStore Store>
 class ClaimBatch {
 public:
@@ -96,12 +96,13 @@
     {
     }
 
+    /// Returns the verdicts in the order of the claims.
     std::vector<ClaimVerdict> make(std::vector<Claim> const& claims)
     {
         this->claims = &claims;
         this->verdicts.assign(claims.size(), std::nullopt);
         this->settle_duplicates();
-        // Each failed condition settles at least one claim, unless the platform misbehaves.
+        // Each failed condition decides at least one claim, so the rounds are limited in case the platform misbehaves.
         for (size_t round = 0; round <= claims.size() + 1 && this->has_open(); ++round) {
             auto transaction = this->prepare();
             if (!transaction)
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Reads the rows of all open claims, settles those held, and builds one transaction for the rest. Nothing when
-    /// the platform does not answer; the open claims are settled then.
+    /// Reads the rows of all undecided claims, decides those that are held, and returns one transaction for the rest.
+    /// If the platform is unavailable, decides all of them and returns nothing.
     std::optional<Transaction> prepare()
     {
         Transaction transaction;
--- a/Libraries/LibPlatform/FaultyTable.h
+++ b/Libraries/LibPlatform/FaultyTable.h
@@ -12,18 +12,18 @@
 
 namespace Platform {
 
-/// What happens to the next call.
+/// The fault to inject into a call.
 enum class Fault : u8 {
     None,
-    /// The call fails and nothing is done.
+    /// The call fails without any effect.
     Unavailable,
-    /// A commit is done, but its answer is lost.
+    /// The commit takes effect, but its response is lost.
     LoseAnswer,
-    /// A commit's request is lost, and its answer with it: nothing is done, and the caller cannot know.
+    /// The commit's request is lost: it has no effect, and the caller cannot distinguish this from a lost response.
     LoseRequest,
 };
 
-/// A view of a shared table through which calls fail as told. Each test client has its own.
+/// A view of a shared table that injects faults into calls. Each test client has its own.
 class FaultyTable {
 public:
     explicit FaultyTable(MemoryTable& table)
@@ -31,7 +31,7 @@
     {
     }
 
-    /// Faults for the next calls, one each; afterwards `standing_fault` holds.
+    /// Sets the faults of the next calls, one per call. Afterwards, `standing_fault` applies.
     void script(std::deque<Fault> faults) { this->scripted = std::move(faults); }
     void set_standing_fault(Fault fault) { this->standing_fault = fault; }
 
--- a/Libraries/LibPlatform/HttpCall.h
+++ b/Libraries/LibPlatform/HttpCall.h
@@ -29,7 +29,7 @@
     std::map<std::string, std::string> headers;
 };
 
-/// How far a failed call got. A request of which no byte left cannot have been carried out.
+/// Progress of a failed call. A request of which no byte was sent cannot have been executed.
 enum class CallProgress : u8 {
     NothingSent,
     MayHaveBeenSent,
@@ -42,16 +42,16 @@
 
 using HttpResult = boost::outcome_v2::basic_result<HttpResponse, HttpFailure, boost::outcome_v2::policy::terminate>;
 
-/// The head of a request to `address`, for a session of connect_http().
+/// Returns the head of a request to the address, for a session of connect_http().
 Poco::Net::HTTPRequest make_http_request(Address const&, HttpRequest const&);
 
-/// Opens a connection without sending anything.
+/// Opens a connection without sending a request.
 boost::outcome_v2::basic_result<std::unique_ptr<Poco::Net::HTTPClientSession>, HttpFailure,
     boost::outcome_v2::policy::terminate>
-connect_http(Address const&, Duration patience);
+connect_http(Address const&, Duration timeout);
 
-/// Makes one call on a connection of its own and reads the whole answer. Blocks for up to about `patience` at each of
-/// connecting and reading. Bodies over 16 MiB are cut off as a failure.
-HttpResult call_http(Address const&, HttpRequest const&, Duration patience);
+/// Makes one call on a new connection and reads the full response. Connecting and each read block for up to about
+/// `timeout`. A body over 16 MiB is a failure.
+HttpResult call_http(Address const&, HttpRequest const&, Duration timeout);
 
 }
--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -21,27 +21,27 @@
     return encoded;
 }
 
-HttpPlatform::HttpPlatform(Address address, Duration patience)
+HttpPlatform::HttpPlatform(Address address, Duration timeout)
     : address(std::move(address))
-    , patience(patience)
+    , timeout(timeout)
 {
 }
 
-/// A call that only reads: whatever went wrong, nothing was changed.
-static Result<HttpResponse> read_only(Address const& address, std::string const& path, Duration patience)
+/// Makes a read-only call. Every failure is PlatformUnavailable, since no failed read has changed anything.
+static Result<HttpResponse> read_only(Address const& address, std::string const& path, Duration timeout)
 {
-    auto answer = call_http(address, { "GET", path, {}, {} }, patience);
-    if (!answer)
-        return platform_unavailable(answer.error().detail);
-    if (answer.value().status != status_ok && answer.value().status != status_not_found)
-        return platform_unavailable("status " + std::to_string(answer.value().status));
-    return answer.value();
+    auto response = call_http(address, { "GET", path, {}, {} }, timeout);
+    if (!response)
+        return platform_unavailable(response.error().detail);
+    if (response.value().status != status_ok && response.value().status != status_not_found)
+        return platform_unavailable("status " + std::to_string(response.value().status));
+    return response.value();
 }
 
 Result<Row> HttpPlatform::read(std::string const& key)
 {
-    TRY(auto answer, read_only(this->address, "/table/row?key=" + escape(key), this->patience));
-    TRY(auto rows, parse_rows(answer.body));
+    TRY(auto response, read_only(this->address, "/table/row?key=" + escape(key), this->timeout));
+    TRY(auto rows, parse_rows(response.body));
     if (rows.empty())
         return Row { key, {}, 0 };
     return rows.front();
@@ -50,20 +50,20 @@
 Result<std::vector<Row>> HttpPlatform::scan(std::string const& prefix, std::string const& after, size_t limit)
 {
     auto path = "/table/scan?prefix=" + escape(prefix) + "&after=" + escape(after) + "&limit=" + std::to_string(limit);
-    TRY(auto answer, read_only(this->address, path, this->patience));
-    return parse_rows(answer.body);
+    TRY(auto response, read_only(this->address, path, this->timeout));
+    return parse_rows(response.body);
 }
 
 Result<CommitResult> HttpPlatform::commit(Transaction const& transaction)
 {
-    auto answer
-        = call_http(this->address, { "POST", "/table/commit", format_transaction(transaction), {} }, this->patience);
-    if (!answer) {
-        if (answer.error().progress == CallProgress::NothingSent)
-            return platform_unavailable(answer.error().detail);
-        return platform_answer_lost(answer.error().detail);
+    auto response
+        = call_http(this->address, { "POST", "/table/commit", format_transaction(transaction), {} }, this->timeout);
+    if (!response) {
+        if (response.error().progress == CallProgress::NothingSent)
+            return platform_unavailable(response.error().detail);
+        return platform_answer_lost(response.error().detail);
     }
-    switch (answer.value().status) {
+    switch (response.value().status) {
     case status_ok:
         return CommitResult::Committed;
     case status_conflict:
@@ -71,32 +71,32 @@
     case 503:
         return platform_unavailable("status 503");
     default:
-        return platform_answer_lost("status " + std::to_string(answer.value().status));
+        return platform_answer_lost("status " + std::to_string(response.value().status));
     }
 }
 
 Result<void> HttpPlatform::put_object(std::string const& name, std::string const& body)
 {
-    auto answer = call_http(this->address, { "PUT", "/object/" + escape(name), body, {} }, this->patience);
-    if (!answer)
-        return platform_answer_lost(answer.error().detail);
-    if (answer.value().status != status_ok)
-        return platform_unavailable("status " + std::to_string(answer.value().status));
+    auto response = call_http(this->address, { "PUT", "/object/" + escape(name), body, {} }, this->timeout);
+    if (!response)
+        return platform_answer_lost(response.error().detail);
+    if (response.value().status != status_ok)
+        return platform_unavailable("status " + std::to_string(response.value().status));
     return success();
 }
 
 Result<std::string> HttpPlatform::get_object(std::string const& name)
 {
-    TRY(auto answer, read_only(this->address, "/object/" + escape(name), this->patience));
-    if (answer.status == status_not_found)
+    TRY(auto response, read_only(this->address, "/object/" + escape(name), this->timeout));
+    if (response.status == status_not_found)
         return Error { ErrorKind::UnknownEntity, "there is no object " + name + "; check the name" };
-    return answer.body;
+    return response.body;
 }
 
 Result<std::vector<BackendServerRecord>> HttpPlatform::list_backend_servers(FailureDomainId const& domain)
 {
-    TRY(auto answer, read_only(this->address, "/hosts?failure_domain=" + escape(domain.value()), this->patience));
-    return parse_backend_servers(answer.body);
+    TRY(auto response, read_only(this->address, "/hosts?failure_domain=" + escape(domain.value()), this->timeout));
+    return parse_backend_servers(response.body);
 }
 
 }
--- a/Libraries/LibPlatform/HttpPlatform.h
+++ b/Libraries/LibPlatform/HttpPlatform.h
@@ -11,23 +11,23 @@
 
 namespace Platform {
 
-/// The platform's table service, object store and host list over HTTP. Calls block; each is on a connection of its
-/// own, so that any thread may call.
+/// Client of the platform's table service, object store and host list over HTTP. Calls block. Each call uses its own
+/// connection, so calls from several threads are safe.
 class HttpPlatform {
 public:
-    HttpPlatform(Address address, Duration patience);
+    HttpPlatform(Address address, Duration timeout);
 
     Result<Row> read(std::string const& key);
     Result<std::vector<Row>> scan(std::string const& prefix, std::string const& after, size_t limit);
     Result<CommitResult> commit(Transaction const&);
     Result<void> put_object(std::string const& name, std::string const& body);
     Result<std::string> get_object(std::string const& name);
-    /// The backend servers of one failure domain, as far as the platform knows.
+    /// Returns the backend servers of one failure domain that the platform lists.
     Result<std::vector<BackendServerRecord>> list_backend_servers(FailureDomainId const&);
 
 private:
     Address address;
-    Duration patience;
+    Duration timeout;
 };
 
 static_assert(TableStore<HttpPlatform> && ObjectStore<HttpPlatform>);
--- a/Libraries/LibPlatform/Lease.h
+++ b/Libraries/LibPlatform/Lease.h
@@ -20,7 +20,7 @@
 struct LeaseValue {
     std::string holder;
     Epoch epoch;
-    /// Changes with each write, so that a holder can recognise a write of its own whose answer was lost.
+    /// Differs in each write, so that a holder recognises its own write after the response to it was lost.
     u64 nonce { 0 };
 };
 
@@ -47,12 +47,12 @@
     }
 }
 
-/// One process's claim to a lease in the platform's table. Nobody's wall clock matters: a holder counts its term
-/// from before it sent the write, and a rival takes over only after it has watched the row stay the same for a whole
-/// term and the margin. A paused holder that wakes finds, by its own clock, that it may no longer act.
+/// One process's state of a lease in the platform's table. Does not depend on wall clocks: a holder counts its term
+/// from before it sent the write, and a contender takes over only after it has seen the row unchanged for the term plus
+/// the margin. A holder that was paused finds by its own clock that it may no longer act.
 class Lease {
 public:
-    /// `margin` covers clock drift and the time an order is on its way. `instance` must differ between processes and
+    /// `margin` covers clock drift and the transit time of an order. `instance` must differ between processes and
     /// between starts of one process.
     Lease(std::string key, std::string holder, Duration term, Duration margin, u64 instance)
         : key(std::move(key))
@@ -63,17 +63,17 @@
     {
     }
 
-    /// Whether this process may act as holder at `now`. Ask immediately before acting.
+    /// Returns whether this process may act as the holder at `now`. To be checked immediately before each action.
     [[nodiscard]] bool may_act(Instant now) const { return this->held_until && now < *this->held_until - this->margin; }
-    /// Until when this process may act, for a check on another thread. Nothing when it does not hold the lease.
+    /// Returns the time until which this process may act, for a check on another thread; nothing without the lease.
     [[nodiscard]] std::optional<Instant> may_act_until() const
     {
         return this->held_until ? std::optional(*this->held_until - this->margin) : std::nullopt;
     }
     [[nodiscard]] Epoch epoch() const { return this->held_epoch; }
 
-    /// The write to try now: to renew, or to take a lease that nobody renews. Nothing when another holder is alive as
-    /// far as known, or when the row has yet to be watched. `row` must have been read after `now` was taken.
+    /// Returns the write that renews the lease, or acquires one that nobody renews. Returns nothing while another
+    /// holder may be alive, or before the row has been watched for long enough. `row` must have been read after `now`.
     std::optional<Transaction> propose(Row const& row, Instant now)
     {
         this->watch(row, now);
@@ -82,7 +82,7 @@
         auto is_free = !row.exists() || now - this->watched_since >= this->term + this->margin;
         if (!is_own && !is_free)
             return std::nullopt;
-        // A renewal keeps the epoch only while the term still runs; otherwise someone may have acted meanwhile.
+        // A renewal keeps the epoch only within the term; after it, another process may have acted in the meantime.
         auto keeps_epoch = is_own && this->may_act(now);
         auto epoch = keeps_epoch ? current.epoch : Epoch(current.epoch.value() + 1);
         this->proposed = { this->holder, epoch, ++this->next_nonce };
@@ -90,7 +90,7 @@
         return Transaction { { { this->key, row.version } }, { { this->key, format_lease(*this->proposed) } } };
     }
 
-    /// The proposed write was committed.
+    /// To be called when the proposed write was committed.
     void committed()
     {
         if (!this->proposed)
@@ -101,10 +101,10 @@
         this->proposed.reset();
     }
 
-    /// The proposed write failed its condition: someone else wrote.
+    /// To be called when the proposed write failed its condition, because another process wrote the row.
     void lost_race() { this->proposed.reset(); }
 
-    /// The answer to the proposed write was lost; `row` was read afterwards.
+    /// To be called when the response to the proposed write was lost, with the row as read afterwards.
     void settle(Row const& row)
     {
         if (!this->proposed)
@@ -113,7 +113,7 @@
         if (row.exists() && value.holder == this->proposed->holder && value.nonce == this->proposed->nonce)
             this->committed();
         else
-            // It may still arrive, but then its term, counted from when it was sent, binds only others.
+            // The write may still arrive. Its term then binds only other processes, since this one does not act on it.
             this->proposed.reset();
     }
 
@@ -147,16 +147,16 @@
     Instant watched_since;
 };
 
-/// One round of keeping a lease: reads the row, proposes, commits, and settles a lost answer. Blocks. `clock` is asked
-/// again before each step, since any of them may take long.
+/// Renews or acquires the lease once: reads the row, commits the proposed write, and resolves a lost response by
+/// reading again. Blocks. The term counts from `now()` before the first read.
 template<TableStore Store, typename Now>
 void keep_lease(Lease& lease, Store& store, Now now)
 {
-    auto asked_at = now();
+    auto started_at = now();
     auto row = store.read(lease.row_key());
     if (!row)
         return;
-    auto transaction = lease.propose(row.value(), asked_at);
+    auto transaction = lease.propose(row.value(), started_at);
     if (!transaction)
         return;
     auto result = store.commit(*transaction);
--- a/Libraries/LibPlatform/MemoryTable.h
+++ b/Libraries/LibPlatform/MemoryTable.h
@@ -12,11 +12,11 @@
 
 namespace Platform {
 
-/// A table service and object store in memory, for stand-ins and tests. Thread safe.
+/// An in-memory table service and object store, for stand-ins and tests. Thread safe.
 class MemoryTable {
 public:
     Result<Row> read(std::string const& key);
-    /// Rows whose key starts with `prefix` and is greater than `after`, in order.
+    /// Returns the rows whose key starts with `prefix` and is greater than `after`, in key order.
     Result<std::vector<Row>> scan(std::string const& prefix, std::string const& after, size_t limit);
     Result<CommitResult> commit(Transaction const&);
     Result<void> put_object(std::string const& name, std::string const& body);
@@ -28,7 +28,7 @@
     std::mutex mutex;
     std::map<std::string, Row> rows;
     std::map<std::string, std::string> objects;
-    // One counter for all rows, so that a row deleted and made again never has an earlier version.
+    // One counter for all rows, so that a row that is deleted and created again never gets a version it had before.
     u64 last_version { 0 };
     u64 commits { 0 };
 };
--- a/Libraries/LibPlatform/PlatformJson.cpp
+++ b/Libraries/LibPlatform/PlatformJson.cpp
@@ -23,7 +23,7 @@
     return out.str();
 }
 
-/// Parses one JSON object and hands it to `read`; any exception of the parser becomes a typed error.
+/// Parses one JSON object and passes it to `read`. Converts exceptions of the parser to a typed error.
 template<typename T>
 static Result<T> parse_object(std::string const& json, std::function<T(Object const&)> const& read)
 {
--- a/Libraries/LibPlatform/PlatformJson.h
+++ b/Libraries/LibPlatform/PlatformJson.h
@@ -8,7 +8,7 @@
 
 #include <LibPlatform/TableStore.h>
 
-/// The JSON bodies of the platform's interface, for the client and for the stand-in.
+/// Parses and formats the JSON bodies of the platform's interface, for the client and the stand-in.
 namespace Platform {
 
 Result<std::vector<Row>> parse_rows(std::string const& json);
--- a/Libraries/LibPlatform/TableStore.h
+++ b/Libraries/LibPlatform/TableStore.h
@@ -24,13 +24,13 @@
     [[nodiscard]] bool exists() const { return this->version != 0; }
 };
 
-/// The transaction commits only while `key` still has this version.
+/// A transaction commits only if `key` has this version.
 struct Condition {
     std::string key;
     u64 expected_version { 0 };
 };
 
-/// Sets a row, or deletes it when there is no value.
+/// Sets a row, or deletes it if there is no value.
 struct Write {
     std::string key;
     std::optional<std::string> value;
@@ -46,8 +46,8 @@
     ConditionFailed,
 };
 
-/// The platform's transactional table service. Calls block and belong on a background thread.
-/// Errors: PlatformUnavailable when nothing was done; PlatformAnswerLost when a commit may have been done.
+/// The platform's transactional table service. Calls block and must run on a background thread.
+/// Errors: PlatformUnavailable if the call had no effect; PlatformAnswerLost if a commit may have taken effect.
 template<typename T>
 concept TableStore = requires(T& store, std::string const& text, Transaction const& transaction, size_t limit)
 {
@@ -62,7 +62,7 @@
         } -> std::same_as<Result<CommitResult>>;
 };
 
-/// The platform's object store, for bodies too large for a row. Errors as above.
+/// The platform's object store, for bodies too large for a row. Returns the same errors as TableStore.
 template<typename T>
 concept ObjectStore = requires(T& store, std::string const& text)
 {
@@ -79,18 +79,18 @@
     Leaving,
 };
 
-/// What the platform's list says of one backend server. The list lags behind reality.
+/// A backend server's entry in the platform's list. The list lags behind the server's actual state.
 struct BackendServerRecord {
     EngineId id;
     Address address;
     FailureDomainId failure_domain;
-    /// The model it serves, for an engine.
+    /// The model that an engine serves.
     ModelId model;
-    /// The plain service it belongs to; empty for an engine.
+    /// The plain service to which the server belongs; empty for an engine.
     ServiceName service;
     TokenCount capacity;
     HostState state { HostState::Live };
-    /// Whether it refuses orders with an epoch older than one it has seen.
+    /// Whether the server rejects orders with an epoch older than one that it has seen.
     bool checks_epochs { true };
 
     bool operator==(BackendServerRecord const&) const = default;
