--- a/Libraries/LibWire/DatagramTransport.cpp
+++ b/Libraries/LibWire/DatagramTransport.cpp
@@ -12,12 +12,12 @@
 
 namespace Wire {
 
-/// Bounded, so that a flood of messages does not keep timers from running.
-static constexpr size_t datagrams_per_wake = 256;
-/// A sender whose messages cannot be read sends more of them; one line a minute tells of it.
-static constexpr Duration pause_between_complaints = 1min;
-/// Senders that are remembered for that.
-static constexpr size_t most_complained_of = 256;
+/// Limits the datagrams read per event loop iteration, so that a flood of messages does not starve timers.
+static constexpr size_t max_datagrams_per_iteration = 256;
+/// Interval of log lines about malformed datagrams of one sender, since such a sender usually sends many.
+static constexpr Duration malformed_log_interval = 1min;
+/// Limit of the senders that are tracked for this.
+static constexpr size_t max_logged_senders = 256;
 
 static std::optional<boost::asio::ip::udp::endpoint> parse_endpoint(std::string_view text)
 {
@@ -43,7 +43,7 @@
 {
     auto endpoint = parse_endpoint(listen.value());
     if (!endpoint)
-        throw std::runtime_error(listen.value() + " is no address to listen on for other hosts; write ip:port");
+        throw std::runtime_error(listen.value() + " is not a valid listen address for other hosts; use ip:port");
     this->socket.open(endpoint->protocol());
     this->socket.bind(*endpoint);
     this->socket.non_blocking(true);
@@ -66,7 +66,7 @@
     envelope.set_sender(this->member.value());
     envelope.set_sender_address(this->announced.value());
     auto const datagram = envelope.SerializeAsString();
-    if (datagram.size() > largest_datagram_bytes) {
+    if (datagram.size() > max_datagram_bytes) {
         this->metrics.add("lilac_peer_messages_oversized_total");
         LOG_EVERY_N(ERROR, 100) << "a message of " << datagram.size()
                                 << " bytes to other hosts is larger than a datagram; make the failure domain smaller";
@@ -99,13 +99,13 @@
 
 void DatagramTransport::receive_all()
 {
-    for (size_t i = 0; i < datagrams_per_wake; ++i) {
+    for (size_t i = 0; i < max_datagrams_per_iteration; ++i) {
         Udp::endpoint sender;
         boost::system::error_code error;
         auto size = this->socket.receive_from(boost::asio::buffer(this->buffer), sender, 0, error);
         if (error == boost::asio::error::would_block)
             return;
-        // A peer whose port is closed answers with an error for a datagram that was sent before; others may wait.
+        // An earlier datagram to a closed port is reported here as an error. Further datagrams may be queued.
         if (!error)
             this->receive({ this->buffer.data(), size }, sender);
     }
@@ -114,14 +114,14 @@
 void DatagramTransport::receive(std::string_view datagram, Udp::endpoint const& sender)
 {
     wire::Envelope envelope;
-    if (datagram.size() > largest_datagram_bytes)
+    if (datagram.size() > max_datagram_bytes)
         return this->reject("is too large", sender);
     if (!envelope.ParseFromArray(datagram.data(), static_cast<int>(datagram.size())))
-        return this->reject("is no message of this system", sender);
+        return this->reject("is not a message of this system", sender);
     if (envelope.sender().empty() || !parse_endpoint(envelope.sender_address()))
-        return this->reject("does not say who sent it", sender);
+        return this->reject("does not identify its sender", sender);
     if (envelope.body_case() == wire::Envelope::BODY_NOT_SET)
-        return this->reject("is of a kind that this version does not know", sender);
+        return this->reject("has a type that this version does not know", sender);
     this->metrics.add("lilac_peer_messages_received_total");
     if (this->handler)
         this->handler(envelope);
@@ -131,10 +131,10 @@
 {
     this->metrics.add("lilac_peer_messages_malformed_total");
     auto const now = AK::BootClock::now();
-    if (this->complained_of.size() >= most_complained_of)
-        this->complained_of.clear();
-    auto [entry, is_new] = this->complained_of.try_emplace(sender, now);
-    if (!is_new && now - entry->second < pause_between_complaints)
+    if (this->last_logged.size() >= max_logged_senders)
+        this->last_logged.clear();
+    auto [entry, is_new] = this->last_logged.try_emplace(sender, now);
+    if (!is_new && now - entry->second < malformed_log_interval)
         return;
     entry->second = now;
     LOG(WARNING) << "a datagram from " << sender << ' ' << reason << "; check what sends to this port, and its version";
--- a/Libraries/LibWire/DatagramTransport.h
+++ b/Libraries/LibWire/DatagramTransport.h
@@ -19,31 +19,31 @@
 
 namespace Wire {
 
-/// One-way messages between the system's own processes, a datagram each, over one socket however many peers there are.
-/// Messages may be lost, and may overtake each other: whoever sends something that must arrive repeats it, or can be
-/// asked for it. Loop thread only.
+/// Sends and receives one-way messages between the system's own processes. Each message is one UDP datagram, and one
+/// socket serves all peers. Messages may be lost or reordered, so senders must repeat important messages or serve
+/// requests for them. Loop thread only.
 class DatagramTransport {
 public:
     using Handler = std::function<void(wire::Envelope const&)>;
 
-    /// Errors: throws when `listen` cannot be listened on.
+    /// Throws if the process cannot listen on `listen`.
     DatagramTransport(boost::asio::io_context&, Core::Metrics&, MemberId member, Address const& listen);
 
-    void on_message(Handler taken) { this->handler = std::move(taken); }
-    /// Sends, or drops when the socket's queue is full.
+    void on_message(Handler new_handler) { this->handler = std::move(new_handler); }
+    /// Sends a message, or drops it if the socket's buffer is full.
     void send(Address const& peer, wire::Envelope envelope) { this->send(std::span(&peer, 1), std::move(envelope)); }
-    /// The same to several peers; the message is encoded once.
+    /// Sends a message to several peers, and encodes it once.
     void send(std::span<Address const> peers, wire::Envelope envelope);
-    /// Tells peers another address than the one that is listened on, as behind a port forwarder.
+    /// Announces an address to peers that differs from the listening one, as behind a port forwarder.
     void announce_as(Address address) { this->announced = std::move(address); }
-    /// Where peers reach this process.
+    /// The address under which peers reach this process.
     [[nodiscard]] Address const& announced_address() const { return this->announced; }
 
 private:
     using Udp = boost::asio::ip::udp;
 
-    /// IPv4's own bound is 65,507. A whole message of a domain names some 2,000 engines in that.
-    static constexpr size_t largest_datagram_bytes = 60'000;
+    /// IPv4 allows 65,507 bytes. A full state message of a domain with some 2,000 engines fits into the limit.
+    static constexpr size_t max_datagram_bytes = 60'000;
 
     void await_datagrams();
     void receive_all();
@@ -56,9 +56,9 @@
     Address announced;
     Udp::socket socket;
     std::unordered_map<Address, Udp::endpoint> endpoints;
-    /// When what a sender sent was last complained of.
-    std::map<Udp::endpoint, Instant> complained_of;
-    std::array<char, largest_datagram_bytes + 1> buffer {};
+    /// Time of the last log line about a malformed datagram, by sender.
+    std::map<Udp::endpoint, Instant> last_logged;
+    std::array<char, max_datagram_bytes + 1> buffer {};
     Handler handler;
     Core::HandlerGuard guard;
 };
--- a/Libraries/LibWire/Messages.h
+++ b/Libraries/LibWire/Messages.h
@@ -9,5 +9,5 @@
 #include <LibWire/Generated/Configuration.pb.h>
 #include <LibWire/Generated/Peer.pb.h>
 
-/// The messages of the schema files.
+/// The messages of the .proto files.
 namespace wire = lilactiller::wire;
--- a/Libraries/LibWire/PeerTransport.cpp
+++ b/Libraries/LibWire/PeerTransport.cpp
@@ -12,8 +12,8 @@
 namespace Wire {
 
 static constexpr int queue_limit_per_peer = 1000;
-static constexpr i64 largest_frame_bytes = 4 * 1024 * 1024;
-static constexpr size_t frames_per_wake = 256;
+static constexpr i64 max_frame_bytes = 4 * 1024 * 1024;
+static constexpr size_t max_frames_per_iteration = 256;
 static constexpr int peer_silence_limit_milliseconds = 3000;
 
 PeerTransport::PeerTransport(Core::EventLoop& loop, Core::EventLog& event_log, Core::Metrics& metrics, Address listen,
@@ -35,13 +35,13 @@
     , inbound(this->context, zmq::socket_type::router)
 {
     if (this->curve) {
-        // ZeroMQ asks this address, and no other, whether a client's key is welcome (RFC 27, ZAP).
+        // ZeroMQ sends the authentication requests for clients' keys to this fixed address (RFC 27, ZAP).
         this->authentication_socket.bind("inproc://zeromq.zap.01");
         watch(this->authentication_socket, [this] { this->answer_authentication(); });
         this->secure(this->inbound, true);
     }
     this->inbound.set(zmq::sockopt::linger, 0);
-    this->inbound.set(zmq::sockopt::maxmsgsize, largest_frame_bytes);
+    this->inbound.set(zmq::sockopt::maxmsgsize, max_frame_bytes);
     this->inbound.bind("tcp://" + this->listen.value());
     watch(this->inbound, [this] { this->receive_all(); });
 }
@@ -58,7 +58,7 @@
         socket.set(zmq::sockopt::curve_serverkey, this->curve->public_key);
 }
 
-/// Splits the parts of one request to the authentication socket.
+/// Reads the parts of one request to the authentication socket.
 static std::vector<std::string> receive_parts(zmq::socket_t& socket)
 {
     std::vector<std::string> parts;
@@ -107,7 +107,7 @@
     zmq::socket_t socket(this->context, zmq::socket_type::dealer);
     socket.set(zmq::sockopt::linger, 0);
     socket.set(zmq::sockopt::sndhwm, queue_limit_per_peer);
-    // A peer that is cut off acknowledges nothing; without a bound its connection would hang for minutes.
+    // A partitioned peer acknowledges nothing; without this limit its connection would hang for minutes.
     socket.set(zmq::sockopt::tcp_maxrt, peer_silence_limit_milliseconds);
     socket.set(zmq::sockopt::reconnect_ivl, 100);
     socket.set(zmq::sockopt::reconnect_ivl_max, 2000);
@@ -138,8 +138,8 @@
 
 void PeerTransport::receive_all()
 {
-    // Bounded, so that a flood of messages does not keep timers from running.
-    for (size_t i = 0; i < frames_per_wake; ++i) {
+    // Limited, so that a flood of messages does not starve timers.
+    for (size_t i = 0; i < max_frames_per_iteration; ++i) {
         zmq::message_t identity;
         zmq::message_t frame;
         if (!this->inbound.recv(identity, zmq::recv_flags::dontwait))
--- a/Libraries/LibWire/PeerTransport.h
+++ b/Libraries/LibWire/PeerTransport.h
@@ -20,33 +20,33 @@
 
 namespace Wire {
 
-/// Z85 keys of ZeroMQ's CURVE. All daemons of one deployment share the pair; a process without the secret can
-/// neither connect nor be connected to.
+/// Z85-encoded keys for ZeroMQ's CURVE. All daemons of one deployment share the pair. A process without the secret key
+/// can neither open nor accept connections.
 struct CurveKeys {
     std::string public_key;
     std::string secret_key;
 };
 
-/// One-way messages between the system's own processes, over ZeroMQ. Delivery is best effort and in order from one
-/// sender; an answer is a message of its own to the sender's address. Loop thread only.
+/// Sends and receives one-way messages between the system's own processes over ZeroMQ. Delivery is best effort, and in
+/// order per sender. A reply is a separate message to the sender's address. Loop thread only.
 class PeerTransport {
 public:
     using Handler = std::function<void(wire::Envelope const&)>;
 
-    /// Calls a function on the loop whenever a socket has messages.
+    /// Registers a function that the loop calls whenever a socket has messages.
     using Watch = std::function<void(zmq::socket_ref, std::function<void()>)>;
 
     PeerTransport(Core::EventLoop&, Core::EventLog&, Core::Metrics&, Address listen, std::optional<CurveKeys>);
     PeerTransport(Watch const&, Core::EventLog&, Core::Metrics&, Address listen, std::optional<CurveKeys>);
 
     void on_message(Handler handler) { this->handler = std::move(handler); }
-    /// Sends, or drops when the peer's queue is full: every exchange tolerates loss.
+    /// Sends a message, or drops it if the peer's queue is full. All protocols tolerate loss.
     void send(Address const& peer, wire::Envelope envelope);
-    /// Forgets the connection to a peer that is gone, with what was queued for it.
+    /// Closes the connection to a peer and drops the messages queued for it.
     void disconnect(Address const& peer);
-    /// Tells peers another address than the one that is listened on, as behind a port forwarder.
+    /// Announces an address to peers that differs from the listening one, as behind a port forwarder.
     void announce_as(Address address) { this->announced = std::move(address); }
-    /// Where peers reach this process.
+    /// The address under which peers reach this process.
     [[nodiscard]] Address const& announced_address() const { return this->announced; }
 
 private:
