--- a/Tests/LibCore/TestBootClock.cpp
+++ b/Tests/LibCore/TestBootClock.cpp
@@ -9,10 +9,11 @@
 #include <catch2/catch.hpp>
 #include <ctime>
 
-// Machines of the users are suspended for seconds; the steady clock does not count that time.
+// The users' machines are suspended for seconds at a time. The standard steady clock does not count this time, so
+// timers and deadlines based on it would be late.
 SCENARIO("time goes on while the machine is suspended")
 {
-    GIVEN("the clock that all decisions use")
+    GIVEN("the clock of all timers and deadlines")
     {
         auto read = [] {
             ::timespec time {};
@@ -22,7 +23,7 @@
         auto const before = read();
         auto const now = AK::BootClock::now().time_since_epoch();
         auto const after = read();
-        THEN("it is the kernel's that counts suspensions")
+        THEN("it is the kernel's clock that includes suspensions")
         {
             CHECK(before <= now);
             CHECK(now <= after);
@@ -39,7 +40,7 @@
         WHEN("the machine is suspended for an hour")
         {
             AK::BootClock::simulate_suspension(1h);
-            THEN("it is due as the machine goes on, though the loop's own sleep is not over")
+            THEN("it expires after the machine resumes, although the loop's own sleep is not over")
             {
                 loop.restart();
                 loop.run_for(2s);
--- a/Tests/LibCore/TestEventCatalogue.cpp
+++ b/Tests/LibCore/TestEventCatalogue.cpp
@@ -11,7 +11,7 @@
 #include <set>
 #include <sstream>
 
-/// Number and name of each row of the table in docs/EVENTS.md.
+/// Returns the number and name of each row of the table in docs/EVENTS.md.
 static std::map<u32, std::string> documented_events()
 {
     std::ifstream file(std::string(LILAC_SOURCE_DIRECTORY) + "/docs/EVENTS.md");
--- a/Tests/LibCore/TestEventLog.cpp
+++ b/Tests/LibCore/TestEventLog.cpp
@@ -18,7 +18,7 @@
         for (auto const* subject : { "a", "b", "a", "c" })
             log.record(EventNumber::RequestReceived, subject, "text");
 
-        THEN("the oldest is gone and the rest is in order")
+        THEN("the oldest is dropped and the rest is in order")
         {
             auto events = log.latest(10);
             REQUIRE(events.size() == 3);
@@ -26,11 +26,11 @@
             CHECK(events[2].subject == "c");
             CHECK(events[0].stamp < events[1].stamp);
         }
-        THEN("events about one subject can be asked for") { CHECK(log.latest(10, "a").size() == 1); }
+        THEN("events can be filtered by subject") { CHECK(log.latest(10, "a").size() == 1); }
     }
 }
 
-TEST_CASE("a stamp is never before one that was seen", "[property]")
+TEST_CASE("timestamps increase strictly, whatever timestamps are observed", "[property]")
 {
     rc::prop("hybrid clock", [](std::vector<std::pair<bool, u16>> const& steps) {
         Core::HybridClock clock;
@@ -48,7 +48,7 @@
     });
 }
 
-SCENARIO("a host with a wrong clock does not drag the others along")
+SCENARIO("a host with a wrong clock does not advance the clocks of others")
 {
     Core::HybridClock clock;
     clock.observe({ 10'000'000'000, 0 }, 1000);
--- a/Tests/LibCore/TestEventLoop.cpp
+++ b/Tests/LibCore/TestEventLoop.cpp
@@ -10,7 +10,7 @@
 #include <catch2/catch.hpp>
 #include <thread>
 
-SCENARIO("closures of one thread run on the loop in their order")
+SCENARIO("callbacks posted by one thread run on the loop in order")
 {
     Core::EventLoop loop;
     std::vector<int> seen;
@@ -38,7 +38,7 @@
     CHECK(order == "ab");
 }
 
-SCENARIO("a call in the background gives its result on the loop")
+SCENARIO("a background call delivers its result on the loop")
 {
     Core::EventLoop loop;
     auto loop_thread = std::this_thread::get_id();
@@ -56,7 +56,7 @@
     CHECK(result_thread == loop_thread);
 }
 
-SCENARIO("a mailbox hands over what was put, or nothing")
+SCENARIO("a mailbox returns a message, or nothing after the timeout")
 {
     Core::Mailbox<int> mailbox;
     CHECK_FALSE(mailbox.take(1ms));
--- a/Tests/LibCore/TestHandlerGuard.cpp
+++ b/Tests/LibCore/TestHandlerGuard.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Counts its own calls where they can be read when it is gone.
+/// Counts calls of its handler in a variable that outlives it.
 struct Owner {
     Owner(boost::asio::io_context& loop, int& calls)
         : timer(loop, AK::BootClock::now())
@@ -36,14 +36,14 @@
     int calls = 0;
     std::optional<Owner> owner(std::in_place, loop, calls);
 
-    WHEN("the object is there")
+    WHEN("the object exists")
     {
         loop.run();
         CHECK(calls == 1);
     }
-    WHEN("the object goes while the completion waits in the queue")
+    WHEN("the object is destroyed while the completion is queued")
     {
-        // The loop looks first what is due and puts it into its queue, behind this.
+        // The loop queues expired timers behind this function.
         boost::asio::post(loop, [&] { owner.reset(); });
         loop.run();
         CHECK(calls == 0);
--- a/Tests/LibCore/TestMetrics.cpp
+++ b/Tests/LibCore/TestMetrics.cpp
@@ -7,7 +7,7 @@
 #include <LibCore/Metrics.h>
 #include <catch2/catch.hpp>
 
-SCENARIO("metrics are readable in the usual text form")
+SCENARIO("metrics are written in the Prometheus text format")
 {
     Core::Metrics metrics;
     metrics.add("lilac_requests_total", 2);
@@ -21,7 +21,7 @@
     CHECK(text.find("lilac_stall_seconds_count 100\n") != std::string::npos);
 }
 
-SCENARIO("a histogram's quantile is within its bucket")
+SCENARIO("a histogram's quantile is accurate to the width of a bucket")
 {
     Core::LatencyHistogram histogram;
     CHECK(histogram.quantile_seconds(0.5) == 0);
--- a/Tests/LibCore/TestSettings.cpp
+++ b/Tests/LibCore/TestSettings.cpp
@@ -15,18 +15,18 @@
     return reader.value();
 }
 
-SCENARIO("settings are checked as a whole, and each complaint names file, line, key and remedy")
+SCENARIO("all errors in settings are reported at once, each with file, line, key and remedy")
 {
-    GIVEN("good settings")
+    GIVEN("valid settings")
     {
         auto reader = read("node:\n  member: gateway-1\n  period: 250ms\n  peers: [127.0.0.1:1, '[::1]:2']\n");
         CHECK(reader.text("node.member") == "gateway-1");
         CHECK(reader.duration_or("node.period", 1s) == 250ms);
         CHECK(reader.address_list("node.peers").size() == 2);
         CHECK(reader.whole_number_or("node.limit", 5, 1, 10) == 5);
-        THEN("there is no complaint") { CHECK(reader.finish().has_value()); }
+        THEN("there is no error") { CHECK(reader.finish().has_value()); }
     }
-    GIVEN("an unknown key, a unit that is missing and an address by name")
+    GIVEN("an unknown key, a missing unit and an address with a host name")
     {
         auto reader = read("node:\n  period: 250\n  adress: 127.0.0.1:80\n  listen: localhost:80\n");
         reader.duration_or("node.period", 1s);
@@ -34,7 +34,7 @@
         auto result = reader.finish();
         REQUIRE_FALSE(result.has_value());
         auto const& message = result.error().message;
-        THEN("all three are named at once")
+        THEN("all three are reported at once")
         {
             CHECK(result.error().kind == ErrorKind::InvalidSettings);
             CHECK(message.find("host.yaml:2: node.period: expected a duration with its unit") != std::string::npos);
@@ -58,9 +58,9 @@
     GIVEN("a file that is not there") { CHECK_FALSE(Core::SettingsReader::load("/nonexistent").has_value()); }
 }
 
-TEST_CASE("no settings text ends the process", "[property]")
+TEST_CASE("no settings text terminates the process", "[property]")
 {
-    rc::prop("any text is read or refused", [](std::string const& text) {
+    rc::prop("any text is parsed or rejected", [](std::string const& text) {
         auto reader = Core::SettingsReader::parse("fuzz", text);
         if (!reader)
             return;
@@ -69,8 +69,9 @@
         reader.value().address_list("node.peers");
         (void)reader.value().finish();
     });
-    rc::prop("a duration reads back", [](u16 milliseconds) {
+    rc::prop("a formatted duration parses to the same value", [](u16 milliseconds) {
         RC_ASSERT(Core::parse_duration(std::to_string(milliseconds) + "ms") == std::chrono::milliseconds(milliseconds));
     });
-    rc::prop("any text is a duration or not", [](std::string const& text) { (void)Core::parse_duration(text); });
+    rc::prop("any text is parsed as a duration or rejected",
+        [](std::string const& text) { (void)Core::parse_duration(text); });
 }
--- a/Tests/LibCore/TestStructuredLog.cpp
+++ b/Tests/LibCore/TestStructuredLog.cpp
@@ -11,7 +11,7 @@
 using Core::EventNumber;
 using Core::StructuredLog;
 
-SCENARIO("a structured log line says what decided")
+SCENARIO("a structured log line contains the event and its fields")
 {
     std::string text;
     StructuredLog log([&](std::string_view bytes) {
@@ -28,7 +28,7 @@
     CHECK(std::count(text.begin(), text.end(), '\n') == 1);
 }
 
-SCENARIO("the volume of the log is bounded, and what is dropped is counted")
+SCENARIO("the volume of the log is limited, and dropped lines are counted")
 {
     std::string text;
     bool reads = true;
@@ -41,7 +41,7 @@
         },
         0.0);
 
-    WHEN("more lines come than the rate allows")
+    WHEN("more lines are written than the rate allows")
     {
         for (int i = 0; i < 1500; ++i)
             log.event(EventNumber::RequestReceived, "flood");
@@ -54,7 +54,7 @@
             log.event(EventNumber::RequestReceived, "flood").with("filler", std::string(1000, 'x'));
         log.flush();
         CHECK(log.dropped_lines() > 0);
-        THEN("what fitted is written once it reads again, and a line tells of the rest")
+        THEN("buffered lines are written when it resumes, and a line reports the number of dropped ones")
         {
             reads = true;
             log.flush();
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -11,13 +11,13 @@
 
 using namespace Platform;
 
-/// A table service whose answers a test gives by hand.
-class HandSource {
+/// A table service that responds only when the test says so.
+class ManualSource {
 public:
     struct Call {
         u64 after { 0 };
         Duration wait { 0 };
-        std::function<void(Result<ChangePage>)> answer;
+        std::function<void(Result<ChangePage>)> respond;
     };
 
     void list(std::string const&, std::string const& first_key, Duration, std::function<void(Result<RowPage>)> on_page)
@@ -30,19 +30,19 @@
     {
         this->calls.push_back({ after, wait, std::move(on_changes) });
     }
-    void answer_list(Result<RowPage> page)
+    void respond_to_list(Result<RowPage> page)
     {
         REQUIRE_FALSE(this->listings.empty());
         auto on_page = std::move(this->listings.front());
         this->listings.pop_front();
         on_page(std::move(page));
     }
-    void answer(Result<ChangePage> page)
+    void respond(Result<ChangePage> page)
     {
         REQUIRE_FALSE(this->calls.empty());
         auto call = std::move(this->calls.front());
         this->calls.pop_front();
-        call.answer(std::move(page));
+        call.respond(std::move(page));
     }
 
     std::deque<std::function<void(Result<RowPage>)>> listings;
@@ -55,7 +55,7 @@
 SCENARIO("a table is followed")
 {
     boost::asio::io_context loop;
-    HandSource source;
+    ManualSource source;
     std::vector<std::string> seen;
     std::vector<u64> fetched;
     int unavailable = 0;
@@ -64,41 +64,41 @@
     observer.listed
         = [&](std::vector<Row> const& rows, u64) { seen.push_back("listed " + std::to_string(rows.size())); };
     observer.changed = [&](std::vector<RowChange> const& changes, u64) {
-        for (auto const& one : changes)
-            seen.push_back(one.row.key);
+        for (auto const& entry : changes)
+            seen.push_back(entry.row.key);
     };
-    observer.fetched = [&](TableUpdate const& news) { fetched.push_back(news.previous_change); };
+    observer.fetched = [&](TableUpdate const& update) { fetched.push_back(update.previous_change); };
     observer.unavailable = [&](Error const&) { ++unavailable; };
     observer.available = [&] { ++available; };
     bool may_retry = true;
     observer.may_retry = [&] { return may_retry; };
     FollowerTiming timing;
     timing.initial_retry_delay = timing.max_retry_delay = 1ms;
-    ChangeFollower<HandSource> follower(loop, source, "servers", observer, timing);
+    ChangeFollower<ManualSource> follower(loop, source, "servers", observer, timing);
     follower.start();
 
     GIVEN("a table of two pages")
     {
-        source.answer_list(RowPage { { { "a", "1", 3 } }, true, 10 });
-        source.answer_list(RowPage { { { "b", "1", 7 } }, false, 12 });
+        source.respond_to_list(RowPage { { { "a", "1", 3 } }, true, 10 });
+        source.respond_to_list(RowPage { { { "b", "1", 7 } }, false, 12 });
         CHECK(source.first_keys == std::vector<std::string> { "", "a\x01" });
         CHECK(seen == std::vector<std::string> { "listed 2" });
-        THEN("changes are asked for since the first page, so that none between the pages is missed")
+        THEN("changes are requested since the first page, so that none between the pages is missed")
         {
             REQUIRE(source.calls.size() == 1);
             CHECK(source.calls.front().after == 10);
             CHECK(follower.last_change() == 7);
         }
     }
-    GIVEN("a table that was read")
+    GIVEN("a table that was listed")
     {
-        source.answer_list(RowPage { { { "a", "1", 3 } }, false, 10 });
+        source.respond_to_list(RowPage { { { "a", "1", 3 } }, false, 10 });
         seen.clear();
-        WHEN("a change comes")
+        WHEN("a change arrives")
         {
-            source.answer(ChangePage { { change("b", 12) }, 13 });
+            source.respond(ChangePage { { change("b", 12) }, 13 });
             CHECK(seen == std::vector<std::string> { "b" });
-            THEN("it is told on, with the change that came before it")
+            THEN("it is passed on for other processes, with the version of the previous change")
             {
                 CHECK(fetched == std::vector<u64> { 3 });
                 CHECK(follower.last_change() == 12);
@@ -107,113 +107,113 @@
         }
         WHEN("history is lost")
         {
-            source.answer(Error { ErrorKind::HistoryLost, "gone", {} });
-            source.answer_list(RowPage { { { "c", "1", 20 } }, false, 21 });
+            source.respond(Error { ErrorKind::HistoryLost, "gone", {} });
+            source.respond_to_list(RowPage { { { "c", "1", 20 } }, false, 21 });
             CHECK(seen == std::vector<std::string> { "listed 1" });
         }
-        WHEN("the platform fails and comes back")
+        WHEN("the platform fails and recovers")
         {
-            source.answer(platform_unavailable("busy"));
+            source.respond(platform_unavailable("busy"));
             CHECK(unavailable == 1);
             ::Test::run_until(loop, [&] { return !source.calls.empty(); });
-            source.answer(platform_unavailable("busy"));
+            source.respond(platform_unavailable("busy"));
             CHECK(unavailable == 1);
             ::Test::run_until(loop, [&] { return !source.calls.empty(); });
-            source.answer(ChangePage { {}, 15 });
+            source.respond(ChangePage { {}, 15 });
             CHECK(available == 1);
         }
-        WHEN("the platform fails, and another follower finds out when it is back")
+        WHEN("the platform fails, and another follower detects its recovery")
         {
             may_retry = false;
-            source.answer(platform_unavailable("busy"));
+            source.respond(platform_unavailable("busy"));
             bool time_has_passed = false;
             AK::Timer timer(loop, 20 * timing.max_retry_delay);
             timer.async_wait([&](boost::system::error_code) { time_has_passed = true; });
             ::Test::run_until(loop, [&] { return time_has_passed; });
-            THEN("it asks nothing meanwhile")
+            THEN("it makes no calls in the meantime")
             {
                 CHECK(source.calls.empty());
-                AND_THEN("it asks again once the platform is back")
+                AND_THEN("it calls again after the recovery")
                 {
                     may_retry = true;
                     ::Test::run_until(loop, [&] { return !source.calls.empty(); });
-                    source.answer(ChangePage { {}, 15 });
+                    source.respond(ChangePage { {}, 15 });
                     CHECK(available == 1);
                 }
             }
         }
-        WHEN("an answer is older than what was known when it was asked for")
+        WHEN("a response is older than the version known at the time of the call")
         {
-            source.answer(ChangePage { { change("old", 2) }, 5 });
+            source.respond(ChangePage { { change("old", 2) }, 5 });
             CHECK(seen.empty());
             CHECK(follower.version() == 10);
-            AND_WHEN("the next one is so too")
+            AND_WHEN("the next response is older, too")
             {
                 ::Test::run_until(loop, [&] { return !source.calls.empty(); });
-                source.answer(ChangePage { {}, 6 });
-                THEN("the platform is lost for as long, and not found again each time")
+                source.respond(ChangePage { {}, 6 });
+                THEN("the platform counts as unavailable throughout, without a recovery at each response")
                 {
                     CHECK(unavailable == 1);
                     CHECK(available == 0);
                     ::Test::run_until(loop, [&] { return !source.calls.empty(); });
-                    source.answer(ChangePage { {}, 10 });
+                    source.respond(ChangePage { {}, 10 });
                     CHECK(available == 1);
                 }
             }
         }
     }
-    GIVEN("a platform that was empty when it was read, and a follower that hears changes from elsewhere")
+    GIVEN("a platform that was empty when listed, and a follower that receives updates from other processes")
     {
         follower.set_following(Following::None);
-        source.answer_list(RowPage { {}, false, 0 });
+        source.respond_to_list(RowPage { {}, false, 0 });
         seen.clear();
-        THEN("news are taken")
+        THEN("updates are applied")
         {
             follower.receive_update({ 0, { { change("b", 1) }, 2 } });
             CHECK(seen == std::vector<std::string> { "b" });
         }
-        THEN("what another host knows is asked for")
+        THEN("changes that another host knows are fetched")
         {
             follower.catch_up(1);
             CHECK(source.calls.size() == 1);
         }
     }
-    GIVEN("a follower that hears changes from elsewhere")
+    GIVEN("a follower that receives updates from other processes")
     {
         follower.set_following(Following::None);
-        source.answer_list(RowPage { { { "a", "1", 3 } }, false, 10 });
+        source.respond_to_list(RowPage { { { "a", "1", 3 } }, false, 10 });
         CHECK(source.calls.empty());
         seen.clear();
-        WHEN("news follow what is known")
+        WHEN("an update continues the known changes")
         {
             follower.receive_update({ 3, { { change("b", 14) }, 15 } });
             CHECK(seen == std::vector<std::string> { "b" });
             CHECK(fetched.empty());
-            AND_WHEN("they come again from another reader")
+            AND_WHEN("it arrives again from another reader")
             {
                 follower.receive_update({ 3, { { change("b", 14) }, 14 } });
                 CHECK(seen.size() == 1);
             }
-            AND_WHEN("news between were missed")
+            AND_WHEN("an update in between was missed")
             {
                 follower.receive_update({ 18, { { change("d", 19) }, 19 } });
                 REQUIRE(source.calls.size() == 1);
                 CHECK(source.calls.front().after == 15);
                 CHECK(source.calls.front().wait == 0s);
-                source.answer(ChangePage { { change("c", 18), change("d", 19) }, 20 });
+                source.respond(ChangePage { { change("c", 18), change("d", 19) }, 20 });
                 CHECK(seen == std::vector<std::string> { "b", "c", "d" });
-                THEN("the platform is left alone again") { CHECK(source.calls.empty()); }
+                THEN("no further call follows") { CHECK(source.calls.empty()); }
             }
         }
         WHEN("another host knows a later change")
         {
             follower.catch_up(12);
             REQUIRE(source.calls.size() == 1);
-            AND_WHEN("news come while the platform is asked")
+            AND_WHEN("an update arrives during a call to the platform")
             {
                 follower.receive_update({ 3, { { change("b", 12) }, 16 } });
-                source.answer(ChangePage { { change("b", 12) }, 14 });
-                THEN("nothing is taken twice, and nothing goes back")
+                source.respond(ChangePage { { change("b", 12) }, 14 });
+                THEN("no change is applied twice, and the version does not decrease")
                 {
                     CHECK(seen == std::vector<std::string> { "b" });
                     CHECK(follower.version() == 16);
@@ -221,7 +221,7 @@
                 }
             }
         }
-        WHEN("it is to follow by itself")
+        WHEN("it is switched to prompt following")
         {
             follower.set_following(Following::Prompt);
             REQUIRE(source.calls.size() == 1);
@@ -230,14 +230,14 @@
     }
 }
 
-/// A follower that has read its table, with its source.
-struct ReadFollower {
-    explicit ReadFollower(FollowerTiming timing, Following following)
+/// A follower that has listed its table, with its source.
+struct ListedFollower {
+    explicit ListedFollower(FollowerTiming timing, Following following)
         : follower(this->loop, this->source, "servers", this->make_observer(), timing)
     {
         this->follower.set_following(following);
         this->follower.start();
-        this->source.answer_list(RowPage { { { "a", "1", 3 } }, false, 10 });
+        this->source.respond_to_list(RowPage { { { "a", "1", 3 } }, false, 10 });
     }
 
     FollowerObserver make_observer()
@@ -245,15 +245,15 @@
         FollowerObserver observer;
         observer.listed = [](std::vector<Row> const&, u64) {};
         observer.changed = [this](std::vector<RowChange> const& changes, u64) {
-            for (auto const& one : changes)
-                this->seen.push_back(one.row.key);
+            for (auto const& entry : changes)
+                this->seen.push_back(entry.row.key);
         };
         observer.unavailable = [](Error const&) {};
         observer.available = [] {};
         return observer;
     }
 
-    /// Lets the loop run for this long, which is long after all of the timing's spans.
+    /// Runs the loop for `duration`, which must exceed the delays of the timing.
     void pass(Duration duration)
     {
         bool time_has_passed = false;
@@ -263,32 +263,32 @@
     }
 
     boost::asio::io_context loop;
-    HandSource source;
+    ManualSource source;
     std::vector<std::string> seen;
-    ChangeFollower<HandSource> follower;
+    ChangeFollower<ManualSource> follower;
 };
 
-SCENARIO("each call to the platform has its price, so few ask it")
+SCENARIO("a follower limits its calls to the platform")
 {
     FollowerTiming timing;
     timing.delay_after_changes = 5ms;
     timing.standby_period = 5ms;
     GIVEN("a follower that follows promptly")
     {
-        ReadFollower prompt(timing, Following::Prompt);
+        ListedFollower prompt(timing, Following::Prompt);
         REQUIRE(prompt.source.calls.size() == 1);
         CHECK(prompt.source.calls.front().wait == timing.wait);
-        WHEN("a change comes")
+        WHEN("a change arrives")
         {
-            prompt.source.answer(ChangePage { { change("b", 12) }, 12 });
-            THEN("those that come with it are waited for before the next call")
+            prompt.source.respond(ChangePage { { change("b", 12) }, 12 });
+            THEN("the next call is delayed, to read further changes of the same group")
             {
                 CHECK(prompt.source.calls.empty());
                 ::Test::run_until(prompt.loop, [&] { return !prompt.source.calls.empty(); });
                 CHECK(prompt.source.calls.front().after == 12);
                 CHECK(prompt.source.calls.front().wait == timing.wait);
             }
-            AND_WHEN("it need not follow any more")
+            AND_WHEN("it no longer has to follow")
             {
                 prompt.follower.set_following(Following::None);
                 prompt.pass(10 * timing.delay_after_changes);
@@ -297,28 +297,28 @@
         }
         WHEN("nothing has changed")
         {
-            prompt.source.answer(ChangePage { {}, 12 });
-            THEN("it asks on at once") { CHECK(prompt.source.calls.size() == 1); }
+            prompt.source.respond(ChangePage { {}, 12 });
+            THEN("the next call follows at once") { CHECK(prompt.source.calls.size() == 1); }
         }
     }
-    GIVEN("a follower that stands by")
+    GIVEN("a standby follower")
     {
-        ReadFollower standby(timing, Following::Standby);
+        ListedFollower standby(timing, Following::Standby);
         CHECK(standby.source.calls.empty());
         ::Test::run_until(standby.loop, [&] { return !standby.source.calls.empty(); });
-        THEN("its calls are not held, and come now and then")
+        THEN("it makes periodic calls, which the platform does not hold")
         {
             CHECK(standby.source.calls.front().wait == 0s);
-            standby.source.answer(ChangePage { { change("b", 12) }, 12 });
+            standby.source.respond(ChangePage { { change("b", 12) }, 12 });
             CHECK(standby.seen == std::vector<std::string> { "b" });
             CHECK(standby.source.calls.empty());
             ::Test::run_until(standby.loop, [&] { return !standby.source.calls.empty(); });
         }
-        WHEN("who followed promptly has failed")
+        WHEN("the prompt follower has failed")
         {
-            standby.source.answer(ChangePage { {}, 12 });
+            standby.source.respond(ChangePage { {}, 12 });
             standby.follower.set_following(Following::Prompt);
-            THEN("it follows at once") { CHECK(standby.source.calls.front().wait == timing.wait); }
+            THEN("it follows promptly at once") { CHECK(standby.source.calls.front().wait == timing.wait); }
         }
     }
 }
@@ -327,48 +327,48 @@
 {
     FollowerTiming timing;
     timing.peer_update_timeout = 5ms;
-    ReadFollower patient(timing, Following::None);
-    WHEN("news overtake those before them")
+    ListedFollower waiting(timing, Following::None);
+    WHEN("an update arrives before its predecessor")
     {
-        patient.follower.receive_update({ 12, { { change("c", 14) }, 14 } });
-        CHECK(patient.seen.empty());
-        AND_WHEN("those come")
+        waiting.follower.receive_update({ 12, { { change("c", 14) }, 14 } });
+        CHECK(waiting.seen.empty());
+        AND_WHEN("the predecessor arrives")
         {
-            patient.follower.receive_update({ 3, { { change("b", 12) }, 12 } });
-            THEN("both are taken in their order, and the platform is left alone")
+            waiting.follower.receive_update({ 3, { { change("b", 12) }, 12 } });
+            THEN("both are applied in order, without a call to the platform")
             {
-                CHECK(patient.seen == std::vector<std::string> { "b", "c" });
-                patient.pass(10 * timing.peer_update_timeout);
-                CHECK(patient.source.calls.empty());
+                CHECK(waiting.seen == std::vector<std::string> { "b", "c" });
+                waiting.pass(10 * timing.peer_update_timeout);
+                CHECK(waiting.source.calls.empty());
             }
         }
-        AND_WHEN("those are lost")
+        AND_WHEN("the predecessor is lost")
         {
-            ::Test::run_until(patient.loop, [&] { return !patient.source.calls.empty(); });
-            THEN("the platform is asked for all of them, once")
+            ::Test::run_until(waiting.loop, [&] { return !waiting.source.calls.empty(); });
+            THEN("one call fetches both from the platform")
             {
-                CHECK(patient.source.calls.front().after == 10);
-                patient.source.answer(ChangePage { { change("b", 12), change("c", 14) }, 14 });
-                CHECK(patient.seen == std::vector<std::string> { "b", "c" });
-                patient.pass(10 * timing.peer_update_timeout);
-                CHECK(patient.source.calls.empty());
+                CHECK(waiting.source.calls.front().after == 10);
+                waiting.source.respond(ChangePage { { change("b", 12), change("c", 14) }, 14 });
+                CHECK(waiting.seen == std::vector<std::string> { "b", "c" });
+                waiting.pass(10 * timing.peer_update_timeout);
+                CHECK(waiting.source.calls.empty());
             }
         }
     }
     WHEN("another host knows a later change")
     {
-        patient.follower.catch_up(12);
-        CHECK(patient.source.calls.empty());
-        AND_WHEN("news of it come")
+        waiting.follower.catch_up(12);
+        CHECK(waiting.source.calls.empty());
+        AND_WHEN("its update arrives")
         {
-            patient.follower.receive_update({ 3, { { change("b", 12) }, 12 } });
-            patient.pass(10 * timing.peer_update_timeout);
-            CHECK(patient.source.calls.empty());
+            waiting.follower.receive_update({ 3, { { change("b", 12) }, 12 } });
+            waiting.pass(10 * timing.peer_update_timeout);
+            CHECK(waiting.source.calls.empty());
         }
-        AND_WHEN("none come")
+        AND_WHEN("no update arrives")
         {
-            ::Test::run_until(patient.loop, [&] { return !patient.source.calls.empty(); });
-            CHECK(patient.source.calls.front().wait == 0s);
+            ::Test::run_until(waiting.loop, [&] { return !waiting.source.calls.empty(); });
+            CHECK(waiting.source.calls.front().wait == 0s);
         }
     }
 }
--- a/Tests/LibPlatform/TestClaimBatch.cpp
+++ b/Tests/LibPlatform/TestClaimBatch.cpp
@@ -34,15 +34,12 @@
     CHECK(verdicts == std::vector { ClaimVerdict::Granted, ClaimVerdict::Granted, ClaimVerdict::TakenByOther });
     CHECK(table.commit_count() == 1);
 
-    WHEN("another call comes with the key")
-    {
-        CHECK(batch.make({ claim("a", "n4") }).front() == ClaimVerdict::TakenByOther);
-    }
-    WHEN("the same call asks again, because the answer to it was lost")
+    WHEN("another call uses the key") { CHECK(batch.make({ claim("a", "n4") }).front() == ClaimVerdict::TakenByOther); }
+    WHEN("the same call repeats its claim, because the response was lost")
     {
         CHECK(batch.make({ claim("a", "n1") }).front() == ClaimVerdict::Granted);
     }
-    WHEN("the claim's lifetime is over")
+    WHEN("the claim has expired")
     {
         ClaimBatch later(view, wall_now + Platform::claim_lifetime_milliseconds + 1);
         CHECK(later.make({ claim("a", "n5") }).front() == ClaimVerdict::Granted);
@@ -51,30 +48,30 @@
     {
         CHECK(batch.make({ { OrganisationId("toll"), "a", "n6" } }).front() == ClaimVerdict::Granted);
     }
-    WHEN("one claim of a batch is taken")
+    WHEN("another call holds one claim of a batch")
     {
         auto mixed = batch.make({ claim("a", "n7"), claim("c", "n8") });
         CHECK(mixed == std::vector { ClaimVerdict::TakenByOther, ClaimVerdict::Granted });
     }
-    WHEN("the answer of the table is lost after the write")
+    WHEN("the table's response is lost after the write")
     {
         view.script({ Fault::None, Fault::LoseAnswer });
         CHECK(batch.make({ claim("d", "n9") }).front() == ClaimVerdict::Granted);
     }
-    WHEN("it cannot be found out whether the write was done")
+    WHEN("it is unknown whether the write took effect")
     {
         view.script({ Fault::None, Fault::LoseAnswer });
         view.set_standing_fault(Fault::Unavailable);
         CHECK(batch.make({ claim("d", "n9") }).front() == ClaimVerdict::Unknown);
     }
-    WHEN("the platform is out")
+    WHEN("the platform is unavailable")
     {
         view.set_standing_fault(Fault::Unavailable);
         CHECK(batch.make({ claim("d", "n9") }).front() == ClaimVerdict::PlatformUnavailable);
     }
 }
 
-SCENARIO("claims whose lifetime is over are swept, and no others")
+SCENARIO("expired claims are swept, and no others")
 {
     MemoryTable table;
     FaultyTable view(table);
@@ -91,7 +88,7 @@
 {
     rc::prop("claims", [] {
         MemoryTable table;
-        // Two routers that both believe to be the one that claims.
+        // Two routers, each of which considers itself the only one that commits claims.
         FaultyTable views[] { FaultyTable(table), FaultyTable(table) };
         std::map<std::string, std::set<std::string>> granted;
         auto rounds = *rc::gen::inRange(1, 15);
--- a/Tests/LibPlatform/TestLease.cpp
+++ b/Tests/LibPlatform/TestLease.cpp
@@ -30,7 +30,7 @@
     REQUIRE(first.may_act(clock.now()));
     CHECK(first.epoch() == Epoch(1));
 
-    WHEN("another asks while the first is alive")
+    WHEN("another contends while the first is alive")
     {
         Platform::keep_lease(second, view, now);
         clock.advance(term);
@@ -43,8 +43,8 @@
     {
         Platform::keep_lease(second, view, now);
         clock.advance(term + margin);
-        THEN("it finds by its own clock that it may not act") { CHECK_FALSE(first.may_act(clock.now())); }
-        THEN("another takes over with a higher epoch, and the first does not come back")
+        THEN("its own clock tells it that it may not act") { CHECK_FALSE(first.may_act(clock.now())); }
+        THEN("another takes over with a higher epoch, and the first does not regain the lease")
         {
             Platform::keep_lease(second, view, now);
             CHECK(second.may_act(clock.now()));
@@ -53,19 +53,19 @@
             CHECK_FALSE(first.may_act(clock.now()));
         }
     }
-    WHEN("the answer to a renewal is lost")
+    WHEN("the response to a renewal is lost")
     {
         clock.advance(term / 3);
         view.script({ Fault::None, Fault::LoseAnswer });
         Platform::keep_lease(first, view, now);
-        THEN("it is settled by reading back")
+        THEN("reading the row back resolves it")
         {
             clock.advance(term - margin - 1s);
             CHECK(first.may_act(clock.now()));
             CHECK(first.epoch() == Epoch(1));
         }
     }
-    WHEN("the platform is out")
+    WHEN("the platform is unavailable")
     {
         view.set_standing_fault(Fault::Unavailable);
         clock.advance(term);
@@ -96,7 +96,7 @@
                     { 2, Fault::LoseAnswer }, { 1, Fault::LoseRequest } }));
             views[who].script(faults);
             auto pause = *rc::gen::inRange(0, 4);
-            // Time may pass between the reading, the writing and the reading back.
+            // Time passes whenever the lease reads its clock.
             Platform::keep_lease(leases[who], views[who], [&] {
                 clock.advance(std::chrono::seconds(pause));
                 return clock.now();
@@ -109,7 +109,7 @@
                     continue;
                 ++holders;
                 RC_ASSERT(leases[j].epoch() >= highest);
-                // Two holders that follow each other never share an epoch.
+                // Successive holders never share an epoch.
                 if (last_actor && *last_actor != j)
                     RC_ASSERT(leases[j].epoch() > highest);
                 highest = leases[j].epoch();
--- a/Tests/LibPlatform/TestPlatformJson.cpp
+++ b/Tests/LibPlatform/TestPlatformJson.cpp
@@ -8,7 +8,7 @@
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
 
-SCENARIO("the platform's bodies read back")
+SCENARIO("formatted bodies of the platform parse to the same values")
 {
     Platform::Transaction transaction { { { "a", 3 } }, { { "b", "x\"y" }, { "c", std::nullopt } } };
     auto read = Platform::parse_transaction(Platform::format_transaction(transaction));
@@ -22,7 +22,7 @@
     CHECK(Platform::parse_backend_servers(Platform::format_backend_servers({ record })).value().front() == record);
 }
 
-TEST_CASE("no body from the platform ends the process", "[property]")
+TEST_CASE("no body from the platform terminates the process", "[property]")
 {
     rc::prop("any text", [](std::string const& text) {
         (void)Platform::parse_rows(text);
--- a/Tests/LibWire/TestDatagramTransport.cpp
+++ b/Tests/LibWire/TestDatagramTransport.cpp
@@ -43,10 +43,10 @@
     CHECK(second.seen == std::vector<std::string> { "host-1" });
     CHECK(first.metrics.counter("lilac_peer_messages_sent_total") == 2);
 
-    WHEN("a peer has gone")
+    WHEN("a peer's port is closed")
     {
         first.transport.send(Address(Test::text_of(Test::free_endpoint())), message());
-        THEN("others are still reached")
+        THEN("other peers are still reachable")
         {
             first.transport.send(second.address, message());
             Test::run_until(loop, [&] { return second.seen.size() == 2; });
@@ -59,27 +59,27 @@
         first.transport.send(second.address, large);
         CHECK(first.metrics.counter("lilac_peer_messages_oversized_total") == 1);
     }
-    WHEN("something comes that is no message")
+    WHEN("malformed datagrams arrive")
     {
         boost::asio::ip::udp::socket stranger(loop, boost::asio::ip::udp::v4());
         auto const target = *Http::parse_endpoint(second.address.value());
-        auto throw_at_second = [&](std::string const& bytes) {
+        auto send_to_second = [&](std::string const& bytes) {
             stranger.send_to(boost::asio::buffer(bytes), { target.address(), target.port() });
         };
-        wire::Envelope nameless = message();
+        wire::Envelope without_sender = message();
         wire::Envelope empty;
         empty.set_sender("host-9");
         empty.set_sender_address("10.0.0.9:7200");
-        wire::Envelope placeless = message();
-        placeless.set_sender("host-9");
-        placeless.set_sender_address("nowhere");
-        throw_at_second("GET / HTTP/1.1");
-        throw_at_second(nameless.SerializeAsString());
-        throw_at_second(placeless.SerializeAsString());
-        throw_at_second(empty.SerializeAsString());
-        throw_at_second(std::string(62'000, 'x'));
+        wire::Envelope without_address = message();
+        without_address.set_sender("host-9");
+        without_address.set_sender_address("nowhere");
+        send_to_second("GET / HTTP/1.1");
+        send_to_second(without_sender.SerializeAsString());
+        send_to_second(without_address.SerializeAsString());
+        send_to_second(empty.SerializeAsString());
+        send_to_second(std::string(62'000, 'x'));
         Test::run_until(loop, [&] { return second.metrics.counter("lilac_peer_messages_malformed_total") == 5; });
-        THEN("it is counted and dropped, and what is proper still comes")
+        THEN("they are counted and dropped, and valid messages still arrive")
         {
             CHECK(second.seen.size() == 1);
             first.transport.send(second.address, message());
--- a/Tests/LibWire/TestPeerTransport.cpp
+++ b/Tests/LibWire/TestPeerTransport.cpp
@@ -59,14 +59,14 @@
     CHECK(receiver.log.stamp_outgoing() > Core::HybridStamp());
 }
 
-SCENARIO("only processes with the deployment's keys are heard")
+SCENARIO("messages are accepted only from processes with the deployment's keys")
 {
     auto keys = draw_keys();
     Peer receiver("router-1", 7803, keys);
     Peer stranger("stranger", 7804, draw_keys());
     Peer without_keys("without-keys", 7805, {});
     Peer own("gateway-1", 7806, keys);
-    // The stranger knows the deployment's public key, as anyone may.
+    // The spy knows the deployment's public key, which is not secret, but not the secret key.
     zmq::context_t context;
     zmq::socket_t spy(context, zmq::socket_type::dealer);
     auto spy_keys = draw_keys();
@@ -81,7 +81,7 @@
     stranger.transport.send(address_of(7803), message());
     without_keys.transport.send(address_of(7803), message());
     own.transport.send(address_of(7803), message());
-    // Heard for a while, so that the others have had their chance; a known process goes on being heard.
+    // Wait for several messages, so that messages of the others have had time to arrive.
     receiver.transport.on_message([&](wire::Envelope const& envelope) {
         receiver.seen.push_back(envelope.sender());
         if (receiver.seen.size() == 20)
@@ -93,7 +93,7 @@
     CHECK(receiver.seen == std::vector<std::string>(20, "gateway-1"));
 }
 
-SCENARIO("a frame that is no message is counted and dropped")
+SCENARIO("a malformed frame is counted and dropped")
 {
     Peer receiver("router-1", 7807, {});
     Peer sender("gateway-1", 7808, {});
