--- a/Libraries/LibWire/PeerTransport.cpp
+++ b/Libraries/LibWire/PeerTransport.cpp
@@ -37,7 +37,7 @@
     if (this->curve) {
         // ZeroMQ sends the authentication requests for clients' keys to this fixed address (RFC 27, ZAP).
         this->authentication_socket.bind("inproc://zeromq.zap.01");
-        watch(this->authentication_socket, [this] { this->answer_authentication(); });
+        watch(this->authentication_socket, [this] { this->handle_authentication(); });
         this->secure(this->inbound, true);
     }
     this->inbound.set(zmq::sockopt::linger, 0);
@@ -80,7 +80,7 @@
     return encoded;
 }
 
-void PeerTransport::answer_authentication()
+void PeerTransport::handle_authentication()
 {
     auto parts = receive_parts(this->authentication_socket);
     if (parts.empty())
@@ -91,11 +91,11 @@
     auto is_known = parts.size() == expected_parts && parts[6].size() == key_bytes
         && encode_key(parts[6]) == this->curve->public_key;
     auto request_id = parts.size() > 1 ? parts[1] : std::string();
-    std::vector<std::string> answer { "1.0", request_id, is_known ? "200" : "400", is_known ? "OK" : "unknown key", "",
+    std::vector<std::string> reply { "1.0", request_id, is_known ? "200" : "400", is_known ? "OK" : "unknown key", "",
         "" };
-    for (size_t i = 0; i < answer.size(); ++i) {
-        auto flags = i + 1 < answer.size() ? zmq::send_flags::sndmore : zmq::send_flags::none;
-        this->authentication_socket.send(zmq::buffer(answer[i]), flags);
+    for (size_t i = 0; i < reply.size(); ++i) {
+        auto flags = i + 1 < reply.size() ? zmq::send_flags::sndmore : zmq::send_flags::none;
+        this->authentication_socket.send(zmq::buffer(reply[i]), flags);
     }
 }
 
--- a/Libraries/LibWire/PeerTransport.h
+++ b/Libraries/LibWire/PeerTransport.h
@@ -52,7 +52,7 @@
 private:
     void receive_all();
     void receive(zmq::message_t const& frame);
-    void answer_authentication();
+    void handle_authentication();
     zmq::socket_t& socket_for(Address const& peer);
     void secure(zmq::socket_t&, bool is_server);
 
