--- a/Libraries/LibScheduling/PoolBook.cpp
+++ b/Libraries/LibScheduling/PoolBook.cpp
@@ -155,8 +155,8 @@
     row.excluded_engines = request.excluded_engines;
     row.charged = expected_cost(this->tables, row, mean_step_seconds(this->tables));
 
-    row.reckoned_wait = reckoned_wait(this->tables, organisation_number, row.charged);
-    auto wait = corrected_wait(this->tables, row.reckoned_wait);
+    row.estimated_wait = estimated_wait(this->tables, organisation_number, row.charged);
+    auto wait = corrected_wait(this->tables, row.estimated_wait);
     auto longest_wait = AK::from_seconds(AK::to_seconds(request.deadline) * this->constants.refusal_share);
     if (this->constants.refuses_by_forecast && wait > longest_wait) {
         this->refuse_new(request,
--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -75,9 +75,9 @@
     constexpr double learning_rate = 0.02;
     constexpr double smallest_correction = 0.5;
     constexpr double largest_correction = 10;
-    if (generation.reckoned_wait < shortest_telling_wait)
+    if (generation.estimated_wait < shortest_telling_wait)
         return;
-    auto ratio = AK::to_seconds(now - generation.arrived) / AK::to_seconds(generation.reckoned_wait);
+    auto ratio = AK::to_seconds(now - generation.arrived) / AK::to_seconds(generation.estimated_wait);
     auto moved
         = tables.wait_correction + learning_rate * (std::min(ratio, largest_correction) - tables.wait_correction);
     tables.wait_correction = std::max(moved, smallest_correction);
@@ -118,7 +118,7 @@
         auto organisation = tables.generations[index].organisation;
         learn_wait(tables, tables.generations[index], now);
         dequeue(tables, index);
-        auto wait = corrected_wait(tables, reckoned_wait(tables, organisation, 0));
+        auto wait = corrected_wait(tables, estimated_wait(tables, organisation, 0));
         refuse(tables, index,
             { ErrorKind::DeadlineUnreachable,
                 "no engine had room before the deadline; come back after the time given, or allow a later deadline",
@@ -178,7 +178,7 @@
     return organisation.virtual_time + organisation.outstanding / organisation.weight;
 }
 
-Duration reckoned_wait(Tables const& tables, OrganisationIndex organisation, double own_cost)
+Duration estimated_wait(Tables const& tables, OrganisationIndex organisation, double own_cost)
 {
     double capacity = 0;
     for (auto const& engine : tables.engines) {
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -78,7 +78,7 @@
 double service_level(OrganisationRow const&);
 
 /// How long a new request of `organisation` would wait by the queues and their shares alone.
-Duration reckoned_wait(Tables const&, OrganisationIndex organisation, double own_cost);
+Duration estimated_wait(Tables const&, OrganisationIndex organisation, double own_cost);
 
 /// Learns from a request that has waited until `now`, placed or given up, how far the reckoning of waits is off.
 void learn_wait(Tables&, GenerationRow const&, Instant now);
--- a/Libraries/LibScheduling/Tables.h
+++ b/Libraries/LibScheduling/Tables.h
@@ -54,7 +54,7 @@
     Instant arrived;
     Instant deadline;
     /// The wait reckoned on arrival, without the correction.
-    Duration reckoned_wait { 0 };
+    Duration estimated_wait { 0 };
     Instant dispatched_at;
     /// Position of the engine's step count when the first token came out.
     double steps_at_first_token { 0 };
