--- a/Libraries/LibScheduling/PoolBook.cpp
+++ b/Libraries/LibScheduling/PoolBook.cpp
@@ -382,7 +382,7 @@
 {
     dequeue(this->tables, index);
     auto& generation = this->tables.generations[index];
-    learn_wait(this->tables, generation, now);
+    update_wait_correction(this->tables, generation, now);
     auto& organisation = this->tables.organisations[generation.organisation];
     auto& engine = this->tables.engines[engine_index];
     organisation.outstanding += generation.charged;
--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -69,7 +69,7 @@
     return AK::from_seconds(AK::to_seconds(reckoned) * tables.wait_correction);
 }
 
-void learn_wait(Tables& tables, GenerationRow const& generation, Instant now)
+void update_wait_correction(Tables& tables, GenerationRow const& generation, Instant now)
 {
     constexpr Duration shortest_telling_wait = 100ms;
     constexpr double learning_rate = 0.02;
@@ -116,7 +116,7 @@
     }
     for (auto index : expired) {
         auto organisation = tables.generations[index].organisation;
-        learn_wait(tables, tables.generations[index], now);
+        update_wait_correction(tables, tables.generations[index], now);
         dequeue(tables, index);
         auto wait = corrected_wait(tables, estimated_wait(tables, organisation, 0));
         refuse(tables, index,
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -81,7 +81,7 @@
 Duration estimated_wait(Tables const&, OrganisationIndex organisation, double own_cost);
 
 /// Learns from a request that has waited until `now`, placed or given up, how far the reckoning of waits is off.
-void learn_wait(Tables&, GenerationRow const&, Instant now);
+void update_wait_correction(Tables&, GenerationRow const&, Instant now);
 
 /// Takes a generation off its queue.
 void dequeue(Tables&, GenerationIndex);
