--- a/Libraries/LibScheduling/PoolScheduler.h
+++ b/Libraries/LibScheduling/PoolScheduler.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <LibScheduling/EngineChooser.h>
-#include <LibScheduling/PoolBook.h>
+#include <LibScheduling/PoolState.h>
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -18,10 +18,10 @@
 /// The decisions for one pool: which generation goes to which engine, when, and what is refused. Time comes in as an
 /// argument, and what is to be done goes out as actions, so that the daemon and the bench run the same code.
 template<AdmissionPolicy Admission>
-class PoolScheduler final : public PoolBook {
+class PoolScheduler final : public PoolState {
 public:
     PoolScheduler(Admission admission, PolicyConstants const& constants)
-        : PoolBook(constants)
+        : PoolState(constants)
         , chooser(std::move(admission), constants, this->tables)
     {
     }
--- a/Libraries/LibScheduling/PoolBook.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -4,14 +4,14 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibScheduling/PoolBook.h>
+#include <LibScheduling/PoolState.h>
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
 namespace Scheduling {
 
-void PoolBook::put_engine(EngineId const& id, Address const& address, double capacity, Instant now)
+void PoolState::put_engine(EngineId const& id, Address const& address, double capacity, Instant now)
 {
     if (auto* known = find_engine(this->tables, id)) {
         known->address = address;
@@ -28,7 +28,7 @@
     this->tables.engines.push_back(std::move(row));
 }
 
-void PoolBook::remove_engine(EngineId const& id)
+void PoolState::remove_engine(EngineId const& id)
 {
     auto found = this->tables.engine_of_id.find(id);
     if (found == this->tables.engine_of_id.end())
@@ -51,13 +51,13 @@
     this->tables.engines.pop_back();
 }
 
-void PoolBook::set_draining(EngineId const& id, bool draining)
+void PoolState::set_draining(EngineId const& id, bool draining)
 {
     if (auto* engine = find_engine(this->tables, id))
         engine->draining = draining;
 }
 
-bool PoolBook::is_over_limits(SubmitRequest const& request, OrganisationRow& organisation, Instant now)
+bool PoolState::is_over_limits(SubmitRequest const& request, OrganisationRow& organisation, Instant now)
 {
     if (request.maximum_concurrency > 0
         && organisation.running + organisation.queue.size() >= request.maximum_concurrency)
@@ -75,18 +75,18 @@
     return false;
 }
 
-void PoolBook::refuse_new(SubmitRequest const& request, Error error)
+void PoolState::refuse_new(SubmitRequest const& request, Error error)
 {
     this->tables.actions.push_back(RefuseAction { request.generation, request.attempt, std::move(error) });
 }
 
-bool PoolBook::is_large(double prompt) const
+bool PoolState::is_large(double prompt) const
 {
     return std::ranges::any_of(this->tables.engines,
         [&](EngineRow const& engine) { return prompt >= engine.capacity * this->constants.large_share; });
 }
 
-void PoolBook::raise_virtual_time(OrganisationRow& organisation)
+void PoolState::raise_virtual_time(OrganisationRow& organisation)
 {
     // An organisation that was away does not save up service: it starts level with the least served one that waits.
     if (!organisation.queue.empty() || organisation.running > 0)
@@ -100,7 +100,7 @@
         organisation.virtual_time = std::max(organisation.virtual_time, least);
 }
 
-bool PoolBook::answer_repeat(SubmitRequest const& request, GenerationIndex known)
+bool PoolState::answer_repeat(SubmitRequest const& request, GenerationIndex known)
 {
     auto const& generation = this->tables.generations[known];
     if (request.attempt > generation.attempt)
@@ -114,7 +114,7 @@
     return true;
 }
 
-void PoolBook::submit(SubmitRequest const& request, Instant now)
+void PoolState::submit(SubmitRequest const& request, Instant now)
 {
     if (auto known = find_generation(this->tables, request.generation)) {
         if (this->answer_repeat(request, *known))
@@ -168,7 +168,7 @@
     this->enqueue(add_generation(this->tables, std::move(row)));
 }
 
-void PoolBook::enqueue(GenerationIndex index)
+void PoolState::enqueue(GenerationIndex index)
 {
     auto const& generation = this->tables.generations[index];
     auto& queue = this->tables.organisations[generation.organisation].queue;
@@ -179,7 +179,7 @@
     ++this->tables.queued_count;
 }
 
-void PoolBook::first_token(GenerationId const& id, Instant now)
+void PoolState::first_token(GenerationId const& id, Instant now)
 {
     auto index = find_generation(this->tables, id);
     if (!index || this->tables.generations[*index].state != GenerationState::Dispatched)
@@ -195,7 +195,7 @@
     engine.demand_is_stale = true;
 }
 
-void PoolBook::leave_engine(GenerationIndex index)
+void PoolState::leave_engine(GenerationIndex index)
 {
     auto const& generation = this->tables.generations[index];
     auto& engine = this->tables.engines[generation.engine];
@@ -206,14 +206,15 @@
     --this->tables.organisations[generation.organisation].running;
 }
 
-void PoolBook::settle_charge(GenerationRow const& generation, double actual_cost)
+void PoolState::settle_charge(GenerationRow const& generation, double actual_cost)
 {
     auto& organisation = this->tables.organisations[generation.organisation];
     organisation.virtual_time += actual_cost / organisation.weight;
     organisation.outstanding = std::max(organisation.outstanding - generation.charged, 0.0);
 }
 
-void PoolBook::finished(GenerationId const& id, AttemptNumber attempt, EndReason reason, TokenCount output, Instant now)
+void PoolState::finished(
+    GenerationId const& id, AttemptNumber attempt, EndReason reason, TokenCount output, Instant now)
 {
     auto index = find_generation(this->tables, id);
     if (!index || this->tables.generations[*index].attempt != attempt)
@@ -240,7 +241,7 @@
     remove_generation(this->tables, *index);
 }
 
-void PoolBook::load_report(EngineId const& id, LoadReport const& report, Instant now)
+void PoolState::load_report(EngineId const& id, LoadReport const& report, Instant now)
 {
     auto* engine = find_engine(this->tables, id);
     if (!engine)
@@ -269,7 +270,7 @@
     engine->demand_is_stale = true;
 }
 
-void PoolBook::expect_reports(Instant now)
+void PoolState::expect_reports(Instant now)
 {
     for (auto& engine : this->tables.engines) {
         engine.report_received = now;
@@ -278,7 +279,7 @@
     }
 }
 
-void PoolBook::prefix_cached(EngineId const& id, u64 prefix_hash, bool is_present)
+void PoolState::prefix_cached(EngineId const& id, u64 prefix_hash, bool is_present)
 {
     auto* engine = find_engine(this->tables, id);
     if (!engine)
@@ -289,21 +290,21 @@
         engine->cached_prefixes.erase(prefix_hash);
 }
 
-void PoolBook::forget_prefixes(EngineId const& id)
+void PoolState::forget_prefixes(EngineId const& id)
 {
     if (auto* engine = find_engine(this->tables, id))
         engine->cached_prefixes.clear();
 }
 
-bool PoolBook::knows(GenerationId const& id) const { return find_generation(this->tables, id).has_value(); }
+bool PoolState::knows(GenerationId const& id) const { return find_generation(this->tables, id).has_value(); }
 
-bool PoolBook::is_queued(GenerationId const& id) const
+bool PoolState::is_queued(GenerationId const& id) const
 {
     auto index = find_generation(this->tables, id);
     return index && this->tables.generations[*index].state == GenerationState::Queued;
 }
 
-std::vector<std::pair<GenerationId, AttemptNumber>> PoolBook::unlisted_since(
+std::vector<std::pair<GenerationId, AttemptNumber>> PoolState::unlisted_since(
     EngineId const& id, std::set<GenerationId> const& listed, Instant placed_before) const
 {
     std::vector<std::pair<GenerationId, AttemptNumber>> result;
@@ -318,7 +319,7 @@
     return result;
 }
 
-void PoolBook::rebuild(RunningGeneration const& running, Instant now)
+void PoolState::rebuild(RunningGeneration const& running, Instant now)
 {
     auto* engine = find_engine(this->tables, running.engine);
     if (!engine || find_generation(this->tables, running.generation))
@@ -344,7 +345,7 @@
     engine->demand_is_stale = true;
 }
 
-std::optional<OrganisationIndex> PoolBook::next_organisation(std::vector<bool> const& passed_over) const
+std::optional<OrganisationIndex> PoolState::next_organisation(std::vector<bool> const& passed_over) const
 {
     std::optional<OrganisationIndex> best;
     auto comes_before = [&](OrganisationRow const& left, OrganisationRow const& right) {
@@ -363,7 +364,7 @@
     return best;
 }
 
-int PoolBook::priority_of(GenerationRow const& generation) const
+int PoolState::priority_of(GenerationRow const& generation) const
 {
     // When an engine runs out of memory it pauses the lowest priority first: routes that mind a pause least, and
     // organisations that have had more than others.
@@ -378,7 +379,7 @@
     return static_cast<int>(std::lround(weight * 10)) - (is_above_share ? 5 : 0);
 }
 
-void PoolBook::place(GenerationIndex index, EngineIndex engine_index, std::string reason, Instant now)
+void PoolState::place(GenerationIndex index, EngineIndex engine_index, std::string reason, Instant now)
 {
     dequeue(this->tables, index);
     auto& generation = this->tables.generations[index];
@@ -400,7 +401,7 @@
         this->priority_of(generation), std::move(reason) });
 }
 
-bool PoolBook::has_waited_long(GenerationRow const& generation, Instant now) const
+bool PoolState::has_waited_long(GenerationRow const& generation, Instant now) const
 {
     auto waited = AK::to_seconds(now - generation.arrived);
     return waited >= AK::to_seconds(generation.deadline - generation.arrived) * this->constants.bypass_share;
--- a/Libraries/LibScheduling/PoolBook.h
+++ b/Libraries/LibScheduling/PoolState.h
@@ -51,10 +51,10 @@
 
 /// What one pool has heard and done: engines, generations and organisations as they come, change and go. Admission is
 /// not decided here; PoolScheduler does that on the same tables.
-class PoolBook {
+class PoolState {
 public:
-    PoolBook(PoolBook const&) = delete;
-    PoolBook& operator=(PoolBook const&) = delete;
+    PoolState(PoolState const&) = delete;
+    PoolState& operator=(PoolState const&) = delete;
 
     void put_engine(EngineId const& id, Address const& address, double capacity, Instant now);
     /// Forgets an engine. Its generations are counted no more; their gateways report what became of them.
@@ -83,12 +83,12 @@
     [[nodiscard]] Tables const& view() const { return this->tables; }
 
 protected:
-    explicit PoolBook(PolicyConstants const& constants)
+    explicit PoolState(PolicyConstants const& constants)
         : constants(constants)
     {
         this->tables.safety_deviations = constants.initial_safety;
     }
-    ~PoolBook() = default;
+    ~PoolState() = default;
 
     /// Whose turn it is among the organisations with a queue that were not passed over.
     [[nodiscard]] std::optional<OrganisationIndex> next_organisation(std::vector<bool> const& passed_over) const;
