--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -125,7 +125,7 @@
     auto organisation_number = organisation_index(this->tables, request.forecast_key.organisation);
     auto& organisation = this->tables.organisations[organisation_number];
     organisation.weight = request.organisation_weight > 0 ? request.organisation_weight : 1;
-    if (std::ranges::none_of(this->tables.engines, may_soon_take_work)) {
+    if (std::ranges::none_of(this->tables.engines, may_soon_accept_work)) {
         this->refuse_new(request,
             { ErrorKind::NoBackendServer, "no engine of this model takes work here; come back after the time given",
                 2s });
--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -15,12 +15,12 @@
 // Memory is never full on average: prompts do not fit exactly and a margin is kept.
 static constexpr double usable_memory_share = 0.8;
 
-bool may_soon_take_work(EngineRow const& engine) { return !engine.draining && !engine.silent; }
+bool may_soon_accept_work(EngineRow const& engine) { return !engine.draining && !engine.silent; }
 
 bool takes_new_work(EngineRow const& engine)
 {
     // Before its first report nothing is known of what others have placed on it.
-    return may_soon_take_work(engine) && engine.report;
+    return may_soon_accept_work(engine) && engine.report;
 }
 
 static void advance_generation(Tables& tables, GenerationRow& generation, double engine_steps)
@@ -182,7 +182,7 @@
 {
     double capacity = 0;
     for (auto const& engine : tables.engines) {
-        if (may_soon_take_work(engine))
+        if (may_soon_accept_work(engine))
             capacity += engine.capacity * usable_memory_share;
     }
     if (capacity <= 0)
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -96,7 +96,7 @@
 Duration corrected_wait(Tables const&, Duration reckoned);
 
 /// Whether an engine takes work now, or will as soon as it has been heard of.
-bool may_soon_take_work(EngineRow const&);
+bool may_soon_accept_work(EngineRow const&);
 
 /// Whether work may be placed on an engine now.
 bool takes_new_work(EngineRow const&);
