--- a/Libraries/LibScheduling/EngineChooser.h
+++ b/Libraries/LibScheduling/EngineChooser.h
@@ -72,7 +72,7 @@
 bool EngineChooser<Admission>::may_take(EngineRow const& engine, GenerationRow const& generation) const
 {
     auto const& excluded = generation.excluded_engines;
-    return takes_new_work(engine) && !engine.is_reserved && std::ranges::find(excluded, engine.id) == excluded.end();
+    return accepts_new_work(engine) && !engine.is_reserved && std::ranges::find(excluded, engine.id) == excluded.end();
 }
 
 template<AdmissionPolicy Admission>
--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -17,7 +17,7 @@
 
 bool may_soon_accept_work(EngineRow const& engine) { return !engine.draining && !engine.silent; }
 
-bool takes_new_work(EngineRow const& engine)
+bool accepts_new_work(EngineRow const& engine)
 {
     // Before its first report nothing is known of what others have placed on it.
     return may_soon_accept_work(engine) && engine.report;
@@ -165,7 +165,7 @@
     double sum = 0;
     double count = 0;
     for (auto const& engine : tables.engines) {
-        if (!takes_new_work(engine))
+        if (!accepts_new_work(engine))
             continue;
         sum += engine.step_seconds;
         ++count;
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -99,6 +99,6 @@
 bool may_soon_accept_work(EngineRow const&);
 
 /// Whether work may be placed on an engine now.
-bool takes_new_work(EngineRow const&);
+bool accepts_new_work(EngineRow const&);
 
 }
