--- a/Libraries/LibScheduling/EngineChooser.h
+++ b/Libraries/LibScheduling/EngineChooser.h
@@ -43,7 +43,7 @@
         double tightness;
     };
 
-    [[nodiscard]] bool may_take(EngineRow const&, GenerationRow const&) const;
+    [[nodiscard]] bool is_eligible(EngineRow const&, GenerationRow const&) const;
     [[nodiscard]] std::vector<Candidate> engines_with_room(GenerationRow const&);
     /// Keeps the roomiest engine of a loaded pool for requests that need much room at once.
     void spare_roomiest(std::vector<Candidate>&, GenerationRow const&) const;
@@ -69,7 +69,7 @@
 }
 
 template<AdmissionPolicy Admission>
-bool EngineChooser<Admission>::may_take(EngineRow const& engine, GenerationRow const& generation) const
+bool EngineChooser<Admission>::is_eligible(EngineRow const& engine, GenerationRow const& generation) const
 {
     auto const& excluded = generation.excluded_engines;
     return accepts_new_work(engine) && !engine.is_reserved && std::ranges::find(excluded, engine.id) == excluded.end();
@@ -81,7 +81,7 @@
     EngineRow* best = nullptr;
     auto least = std::numeric_limits<double>::infinity();
     for (auto& engine : this->tables.engines) {
-        if (!this->may_take(engine, generation))
+        if (!this->is_eligible(engine, generation))
             continue;
         auto tightness = this->admission.tightness(this->tables, engine, generation);
         if (tightness < least) {
@@ -100,7 +100,7 @@
     std::vector<Candidate> candidates;
     for (EngineIndex i = 0; i < this->tables.engines.size(); ++i) {
         auto& engine = this->tables.engines[i];
-        if (!this->may_take(engine, generation))
+        if (!this->is_eligible(engine, generation))
             continue;
         auto tightness = this->admission.tightness(this->tables, engine, generation);
         // An empty engine takes what it is given: nothing will make more room there.
