--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -18,7 +18,7 @@
     /// preemption and shrinks with each generation that finishes while others wait for memory, so that preemptions come
     /// to about the target where memory is short, and to fewer where it is not.
     double initial_safety { 0.6 };
-    double smallest_safety { 0.5 };
+    double min_safety { 0.5 };
     double largest_safety { 2.5 };
     double target_preemptions_per_generation { 0.003 };
     double safety_gain { 0.05 };
