--- a/Libraries/LibPolicyBench/Cells.cpp
+++ b/Libraries/LibPolicyBench/Cells.cpp
@@ -59,7 +59,7 @@
     static std::map<std::string, Setter> const setters {
         { "initial", [](auto& all, double number) { all.initial_safety = number; } },
         { "min", [](auto& all, double number) { all.min_safety = number; } },
-        { "max", [](auto& all, double number) { all.largest_safety = number; } },
+        { "max", [](auto& all, double number) { all.max_safety = number; } },
         { "target", [](auto& all, double number) { all.target_preemptions_per_generation = number; } },
         { "gain", [](auto& all, double number) { all.safety_gain = number; } },
         { "shortage", [](auto& all, double number) { all.shortage_memory = AK::from_seconds(number); } },
--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -61,7 +61,7 @@
     if (tables.last_short_of_memory && now - *tables.last_short_of_memory < constants.shortage_memory)
         change -= finished * constants.target_preemptions_per_generation;
     tables.safety_deviations = std::clamp(
-        tables.safety_deviations + constants.safety_gain * change, constants.min_safety, constants.largest_safety);
+        tables.safety_deviations + constants.safety_gain * change, constants.min_safety, constants.max_safety);
 }
 
 Duration corrected_wait(Tables const& tables, Duration reckoned)
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -19,7 +19,7 @@
     /// to about the target where memory is short, and to fewer where it is not.
     double initial_safety { 0.6 };
     double min_safety { 0.5 };
-    double largest_safety { 2.5 };
+    double max_safety { 2.5 };
     double target_preemptions_per_generation { 0.003 };
     double safety_gain { 0.05 };
     /// Memory counts as short for so long after something had to wait for it.
