--- a/Libraries/LibPolicyBench/Cells.cpp
+++ b/Libraries/LibPolicyBench/Cells.cpp
@@ -28,7 +28,7 @@
     // First come, first served: nothing passes the head of the queue.
     constants.bypass_share = 0;
     constants.reserves_engine = false;
-    constants.passing_depth = 1;
+    constants.bypass_depth = 1;
     return constants;
 }
 
@@ -66,7 +66,7 @@
         { "reserve", [](auto& all, double number) { all.reserve_share = number; } },
         { "bypass", [](auto& all, double number) { all.bypass_share = number; } },
         { "reserves", [](auto& all, double number) { all.reserves_engine = number > 0; } },
-        { "depth", [](auto& all, double number) { all.passing_depth = static_cast<size_t>(number); } },
+        { "depth", [](auto& all, double number) { all.bypass_depth = static_cast<size_t>(number); } },
         { "spare", [](auto& all, double number) { all.spare_above = number; } },
         { "large", [](auto& all, double number) { all.large_share = number; } },
         { "refusal", [](auto& all, double number) { all.refusal_share = number; } },
--- a/Libraries/LibScheduling/PoolScheduler.h
+++ b/Libraries/LibScheduling/PoolScheduler.h
@@ -43,7 +43,7 @@
 bool PoolScheduler<Admission>::place_one_of(OrganisationIndex organisation, Instant now)
 {
     auto const& queue = this->tables.organisations[organisation].queue;
-    auto depth = std::min(queue.size(), this->constants.passing_depth);
+    auto depth = std::min(queue.size(), this->constants.bypass_depth);
     for (size_t i = 0; i < depth; ++i) {
         auto index = queue[i];
         std::string reason;
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -36,7 +36,7 @@
     /// Requests whose expected wait is over this share of their deadline are refused on arrival.
     double refusal_share { 0.7 };
     /// So many of an organisation's foremost requests are tried; smaller ones may pass larger ones of its own.
-    size_t passing_depth { 4 };
+    size_t bypass_depth { 4 };
     /// Whether one engine is then left to drain for it, instead of all.
     bool reserves_engine { true };
     /// A request is large when its prompt takes this share of an engine. While large requests come, the roomiest engine
