--- a/Libraries/LibScheduling/EngineChooser.h
+++ b/Libraries/LibScheduling/EngineChooser.h
@@ -46,7 +46,7 @@
     [[nodiscard]] bool is_eligible(EngineRow const&, GenerationRow const&) const;
     [[nodiscard]] std::vector<Candidate> engines_with_room(GenerationRow const&);
     /// Keeps the roomiest engine of a loaded pool for requests that need much room at once.
-    void spare_roomiest(std::vector<Candidate>&, GenerationRow const&) const;
+    void spare_least_loaded(std::vector<Candidate>&, GenerationRow const&) const;
     [[nodiscard]] double placement_cost(EngineRow const&, GenerationRow const&, double tightness) const;
 
     Admission admission;
@@ -111,7 +111,8 @@
 }
 
 template<AdmissionPolicy Admission>
-void EngineChooser<Admission>::spare_roomiest(std::vector<Candidate>& candidates, GenerationRow const& generation) const
+void EngineChooser<Admission>::spare_least_loaded(
+    std::vector<Candidate>& candidates, GenerationRow const& generation) const
 {
     if (candidates.size() < 2)
         return;
@@ -126,7 +127,7 @@
 std::optional<EngineIndex> EngineChooser<Admission>::choose(GenerationRow const& generation, std::string& reason)
 {
     auto candidates = this->engines_with_room(generation);
-    this->spare_roomiest(candidates, generation);
+    this->spare_least_loaded(candidates, generation);
     if (candidates.empty())
         return std::nullopt;
     auto best = std::ranges::min_element(candidates, {}, [&](Candidate const& candidate) {
