--- a/Libraries/LibScheduling/EngineChooser.h
+++ b/Libraries/LibScheduling/EngineChooser.h
@@ -44,7 +44,7 @@
     };
 
     [[nodiscard]] bool is_eligible(EngineRow const&, GenerationRow const&) const;
-    [[nodiscard]] std::vector<Candidate> engines_with_room(GenerationRow const&);
+    [[nodiscard]] std::vector<Candidate> engines_with_capacity(GenerationRow const&);
     /// Keeps the roomiest engine of a loaded pool for requests that need much room at once.
     void spare_least_loaded(std::vector<Candidate>&, GenerationRow const&) const;
     [[nodiscard]] double placement_cost(EngineRow const&, GenerationRow const&, double tightness) const;
@@ -94,7 +94,7 @@
 }
 
 template<AdmissionPolicy Admission>
-std::vector<typename EngineChooser<Admission>::Candidate> EngineChooser<Admission>::engines_with_room(
+std::vector<typename EngineChooser<Admission>::Candidate> EngineChooser<Admission>::engines_with_capacity(
     GenerationRow const& generation)
 {
     std::vector<Candidate> candidates;
@@ -126,7 +126,7 @@
 template<AdmissionPolicy Admission>
 std::optional<EngineIndex> EngineChooser<Admission>::choose(GenerationRow const& generation, std::string& reason)
 {
-    auto candidates = this->engines_with_room(generation);
+    auto candidates = this->engines_with_capacity(generation);
     this->spare_least_loaded(candidates, generation);
     if (candidates.empty())
         return std::nullopt;
