--- a/Libraries/LibPolicyBench/Cells.cpp
+++ b/Libraries/LibPolicyBench/Cells.cpp
@@ -62,7 +62,7 @@
         { "max", [](auto& all, double number) { all.max_safety = number; } },
         { "target", [](auto& all, double number) { all.target_preemptions_per_generation = number; } },
         { "gain", [](auto& all, double number) { all.safety_gain = number; } },
-        { "shortage", [](auto& all, double number) { all.shortage_memory = AK::from_seconds(number); } },
+        { "shortage", [](auto& all, double number) { all.shortage_duration = AK::from_seconds(number); } },
         { "reserve", [](auto& all, double number) { all.reserve_share = number; } },
         { "bypass", [](auto& all, double number) { all.bypass_share = number; } },
         { "reserves", [](auto& all, double number) { all.reserves_engine = number > 0; } },
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -23,7 +23,7 @@
     double target_preemptions_per_generation { 0.003 };
     double safety_gain { 0.05 };
     /// Memory counts as short for so long after something had to wait for it.
-    Duration shortage_memory { 2s };
+    Duration shortage_duration { 2s };
     /// Share of an engine's memory that is never planned with: partly filled blocks and steps that come in late.
     double reserve_share { 0.04 };
     /// A head of queue that does not fit lets others pass until it has waited this share of its deadline.
