--- a/Libraries/LibScheduling/PoolScheduler.h
+++ b/Libraries/LibScheduling/PoolScheduler.h
@@ -104,7 +104,7 @@
             engine.own_usage.pop_front();
     }
     auto& last_large = this->tables.last_large_request;
-    if (last_large && now - *last_large > this->constants.large_request_memory)
+    if (last_large && now - *last_large > this->constants.large_request_window)
         last_large.reset();
     expire_queue(this->tables, now);
     return this->admit(now);
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -43,7 +43,7 @@
     /// of a pool that is fuller than `spare_above` is kept for them.
     double large_share { 0.2 };
     double spare_above { 0.4 };
-    Duration large_request_memory { 30s };
+    Duration large_request_window { 30s };
     /// Whether queues are fair between organisations, or first come, first served.
     bool is_fair { true };
     /// Whether a request whose forecast wait passes its deadline is refused on arrival.
