--- a/Libraries/LibPolicyBench/Dispatcher.h
+++ b/Libraries/LibPolicyBench/Dispatcher.h
@@ -47,7 +47,7 @@
     {
     }
 
-    double tightness(
+    double memory_utilisation(
         Scheduling::Tables& tables, Scheduling::EngineRow& engine, Scheduling::GenerationRow const& candidate)
     {
         struct Holding {
--- a/Libraries/LibScheduling/Admission.h
+++ b/Libraries/LibScheduling/Admission.h
@@ -18,7 +18,7 @@
 concept AdmissionPolicy = requires(T& policy, Tables& tables, EngineRow& engine, GenerationRow const& generation)
 {
     {
-        policy.tightness(tables, engine, generation)
+        policy.memory_utilisation(tables, engine, generation)
         } -> std::same_as<double>;
 };
 
@@ -31,7 +31,7 @@
     {
     }
 
-    double tightness(Tables& tables, EngineRow& engine, GenerationRow const& generation)
+    double memory_utilisation(Tables& tables, EngineRow& engine, GenerationRow const& generation)
     {
         forecast_demand(tables, engine);
         auto demand = engine.demand;
@@ -52,7 +52,7 @@
 /// Baseline: reserves the prompt and the largest output that the request allows.
 class MaximumReservation {
 public:
-    double tightness(Tables& tables, EngineRow& engine, GenerationRow const& generation)
+    double memory_utilisation(Tables& tables, EngineRow& engine, GenerationRow const& generation)
     {
         auto reserved = generation.prompt + generation.maximum_output;
         for (auto index : engine.generations) {
@@ -66,7 +66,7 @@
 /// Baseline: reserves the prompt and what the output has come to, and leaves the rest to the engine's preemption.
 class PromptOnlyReservation {
 public:
-    double tightness(Tables& tables, EngineRow& engine, GenerationRow const& generation)
+    double memory_utilisation(Tables& tables, EngineRow& engine, GenerationRow const& generation)
     {
         auto held = generation.prompt;
         for (auto index : engine.generations)
--- a/Libraries/LibScheduling/EngineChooser.h
+++ b/Libraries/LibScheduling/EngineChooser.h
@@ -40,14 +40,14 @@
 private:
     struct Candidate {
         EngineIndex engine;
-        double tightness;
+        double memory_utilisation;
     };
 
     [[nodiscard]] bool is_eligible(EngineRow const&, GenerationRow const&) const;
     [[nodiscard]] std::vector<Candidate> engines_with_capacity(GenerationRow const&);
     /// Keeps the roomiest engine of a loaded pool for requests that need much room at once.
     void spare_least_loaded(std::vector<Candidate>&, GenerationRow const&) const;
-    [[nodiscard]] double placement_cost(EngineRow const&, GenerationRow const&, double tightness) const;
+    [[nodiscard]] double placement_cost(EngineRow const&, GenerationRow const&, double memory_utilisation) const;
 
     Admission admission;
     PolicyConstants const& constants;
@@ -56,7 +56,7 @@
 
 template<AdmissionPolicy Admission>
 double EngineChooser<Admission>::placement_cost(
-    EngineRow const& engine, GenerationRow const& generation, double tightness) const
+    EngineRow const& engine, GenerationRow const& generation, double memory_utilisation) const
 {
     auto is_cached = generation.prefix_hash != 0 && engine.cached_prefixes.contains(generation.prefix_hash);
     auto own_prefill = is_cached ? 0 : generation.prompt;
@@ -65,7 +65,7 @@
     // Tightness has no unit; scaled so that a full engine weighs like a stall of this many seconds.
     constexpr double seconds_when_full = 0.05;
     return generation.weights.stall * stall + generation.weights.token_gap * gap
-        + generation.weights.preemption * tightness * seconds_when_full;
+        + generation.weights.preemption * memory_utilisation * seconds_when_full;
 }
 
 template<AdmissionPolicy Admission>
@@ -83,10 +83,10 @@
     for (auto& engine : this->tables.engines) {
         if (!this->is_eligible(engine, generation))
             continue;
-        auto tightness = this->admission.tightness(this->tables, engine, generation);
-        if (tightness < least) {
+        auto memory_utilisation = this->admission.memory_utilisation(this->tables, engine, generation);
+        if (memory_utilisation < least) {
             best = &engine;
-            least = tightness;
+            least = memory_utilisation;
         }
     }
     if (best)
@@ -102,10 +102,10 @@
         auto& engine = this->tables.engines[i];
         if (!this->is_eligible(engine, generation))
             continue;
-        auto tightness = this->admission.tightness(this->tables, engine, generation);
+        auto memory_utilisation = this->admission.memory_utilisation(this->tables, engine, generation);
         // An empty engine takes what it is given: nothing will make more room there.
-        if (tightness <= 1 || engine.generations.empty())
-            candidates.push_back({ i, tightness });
+        if (memory_utilisation <= 1 || engine.generations.empty())
+            candidates.push_back({ i, memory_utilisation });
     }
     return candidates;
 }
@@ -116,10 +116,10 @@
 {
     if (candidates.size() < 2)
         return;
-    auto roomiest = std::ranges::min_element(candidates, {}, &Candidate::tightness);
+    auto roomiest = std::ranges::min_element(candidates, {}, &Candidate::memory_utilisation);
     auto const& engine = this->tables.engines[roomiest->engine];
     auto is_small = generation.prompt < engine.capacity * this->constants.large_share;
-    if (is_small && this->tables.last_large_request && roomiest->tightness > this->constants.spare_above)
+    if (is_small && this->tables.last_large_request && roomiest->memory_utilisation > this->constants.spare_above)
         candidates.erase(roomiest);
 }
 
@@ -131,9 +131,9 @@
     if (candidates.empty())
         return std::nullopt;
     auto best = std::ranges::min_element(candidates, {}, [&](Candidate const& candidate) {
-        return this->placement_cost(this->tables.engines[candidate.engine], generation, candidate.tightness);
+        return this->placement_cost(this->tables.engines[candidate.engine], generation, candidate.memory_utilisation);
     });
-    reason = "memory " + std::to_string(static_cast<int>(best->tightness * 100)) + "% of the safe limit";
+    reason = "memory " + std::to_string(static_cast<int>(best->memory_utilisation * 100)) + "% of the safe limit";
     return best->engine;
 }
 
