--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -36,7 +36,7 @@
     auto index = found->second;
     auto running = this->tables.engines[index].generations;
     for (auto generation : running) {
-        leave_engine(generation);
+        detach_from_engine(generation);
         remove_generation(this->tables, generation);
     }
     // The last row takes the place of the one removed.
@@ -195,7 +195,7 @@
     engine.demand_is_stale = true;
 }
 
-void PoolState::leave_engine(GenerationIndex index)
+void PoolState::detach_from_engine(GenerationIndex index)
 {
     auto const& generation = this->tables.generations[index];
     auto& engine = this->tables.engines[generation.engine];
@@ -237,7 +237,7 @@
     } else {
         this->settle_charge(generation, 0);
     }
-    this->leave_engine(*index);
+    this->detach_from_engine(*index);
     remove_generation(this->tables, *index);
 }
 
--- a/Libraries/LibScheduling/PoolState.h
+++ b/Libraries/LibScheduling/PoolState.h
@@ -109,7 +109,7 @@
     [[nodiscard]] bool answer_repeat(SubmitRequest const&, GenerationIndex known);
     void enqueue(GenerationIndex);
     [[nodiscard]] int priority_of(GenerationRow const&) const;
-    void leave_engine(GenerationIndex);
+    void detach_from_engine(GenerationIndex);
     void settle_charge(GenerationRow const&, double actual_cost);
     void raise_virtual_time(OrganisationRow&);
 };
