--- a/Libraries/LibScheduling/PoolScheduler.h
+++ b/Libraries/LibScheduling/PoolScheduler.h
@@ -66,10 +66,10 @@
 template<AdmissionPolicy Admission>
 void PoolScheduler<Admission>::run_admission(Instant now)
 {
-    std::vector<bool> passed_over(this->tables.organisations.size(), false);
+    std::vector<bool> skipped(this->tables.organisations.size(), false);
     this->chooser.drop_reservations();
     while (this->tables.queued_count > 0) {
-        auto organisation = this->next_organisation(passed_over);
+        auto organisation = this->next_organisation(skipped);
         if (!organisation)
             return;
         if (this->place_one_of(*organisation, now))
@@ -78,7 +78,7 @@
         auto const& head = this->tables.generations[this->tables.organisations[*organisation].queue.front()];
         if (this->has_waited_long(head, now) && !this->constants.reserves_engine)
             return;
-        passed_over[*organisation] = true;
+        skipped[*organisation] = true;
     }
 }
 
--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -345,7 +345,7 @@
     engine->demand_is_stale = true;
 }
 
-std::optional<OrganisationIndex> PoolState::next_organisation(std::vector<bool> const& passed_over) const
+std::optional<OrganisationIndex> PoolState::next_organisation(std::vector<bool> const& skipped) const
 {
     std::optional<OrganisationIndex> best;
     auto comes_before = [&](OrganisationRow const& left, OrganisationRow const& right) {
@@ -356,7 +356,7 @@
     };
     for (OrganisationIndex i = 0; i < this->tables.organisations.size(); ++i) {
         auto const& organisation = this->tables.organisations[i];
-        if (organisation.queue.empty() || passed_over[i])
+        if (organisation.queue.empty() || skipped[i])
             continue;
         if (!best || comes_before(organisation, this->tables.organisations[*best]))
             best = i;
--- a/Libraries/LibScheduling/PoolState.h
+++ b/Libraries/LibScheduling/PoolState.h
@@ -91,7 +91,7 @@
     ~PoolState() = default;
 
     /// Whose turn it is among the organisations with a queue that were not passed over.
-    [[nodiscard]] std::optional<OrganisationIndex> next_organisation(std::vector<bool> const& passed_over) const;
+    [[nodiscard]] std::optional<OrganisationIndex> next_organisation(std::vector<bool> const& skipped) const;
     /// Whether a request has waited so long that others may no longer pass it.
     [[nodiscard]] bool has_waited_long(GenerationRow const&, Instant now) const;
     /// Books a queued generation onto an engine and adds the action.
