--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -100,7 +100,7 @@
         organisation.virtual_time = std::max(organisation.virtual_time, least);
 }
 
-bool PoolState::answer_repeat(SubmitRequest const& request, GenerationIndex known)
+bool PoolState::handle_duplicate(SubmitRequest const& request, GenerationIndex known)
 {
     auto const& generation = this->tables.generations[known];
     if (request.attempt > generation.attempt)
@@ -117,7 +117,7 @@
 void PoolState::submit(SubmitRequest const& request, Instant now)
 {
     if (auto known = find_generation(this->tables, request.generation)) {
-        if (this->answer_repeat(request, *known))
+        if (this->handle_duplicate(request, *known))
             return;
         this->finished(
             request.generation, this->tables.generations[*known].attempt, EndReason::NotStarted, TokenCount(0), now);
--- a/Libraries/LibScheduling/PoolState.h
+++ b/Libraries/LibScheduling/PoolState.h
@@ -106,7 +106,7 @@
     /// Whether a prompt takes much of an engine at once.
     [[nodiscard]] bool is_large(double prompt) const;
     /// Whether a request for a generation already known needs nothing more than perhaps the same answer again.
-    [[nodiscard]] bool answer_repeat(SubmitRequest const&, GenerationIndex known);
+    [[nodiscard]] bool handle_duplicate(SubmitRequest const&, GenerationIndex known);
     void enqueue(GenerationIndex);
     [[nodiscard]] int priority_of(GenerationRow const&) const;
     void detach_from_engine(GenerationIndex);
