--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -350,7 +350,7 @@
     std::optional<OrganisationIndex> best;
     auto comes_before = [&](OrganisationRow const& left, OrganisationRow const& right) {
         if (this->constants.is_fair)
-            return service_level(left) < service_level(right);
+            return normalised_service(left) < normalised_service(right);
         return this->tables.generations[left.queue.front()].arrived
             < this->tables.generations[right.queue.front()].arrived;
     };
@@ -372,10 +372,10 @@
     auto least = std::numeric_limits<double>::infinity();
     for (auto const& organisation : this->tables.organisations) {
         if (organisation.running > 0 || !organisation.queue.empty())
-            least = std::min(least, service_level(organisation));
+            least = std::min(least, normalised_service(organisation));
     }
     auto const& organisation = this->tables.organisations[generation.organisation];
-    auto is_above_share = service_level(organisation) > least * 1.5;
+    auto is_above_share = normalised_service(organisation) > least * 1.5;
     return static_cast<int>(std::lround(weight * 10)) - (is_above_share ? 5 : 0);
 }
 
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -75,7 +75,7 @@
 double mean_step_seconds(Tables const&);
 
 /// What an organisation has had and is having, per weight: who has least comes first.
-double service_level(OrganisationRow const&);
+double normalised_service(OrganisationRow const&);
 
 /// How long a new request of `organisation` would wait by the queues and their shares alone.
 Duration estimated_wait(Tables const&, OrganisationIndex organisation, double own_cost);
