--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -188,13 +188,13 @@
     if (capacity <= 0)
         return longest_retry;
     auto const& own = tables.organisations[organisation];
-    auto own_level = normalised_service(own) + (own.queued_cost + own_cost) / own.weight;
+    auto own_service = normalised_service(own) + (own.queued_cost + own_cost) / own.weight;
     auto ahead = own.queued_cost;
     for (auto const& other : tables.organisations) {
         if (&other == &own || other.queue.empty())
             continue;
         // What the other may be served before its virtual time passes the level at which this request's turn comes.
-        auto before_own_turn = std::max(own_level - normalised_service(other), 0.0) * other.weight;
+        auto before_own_turn = std::max(own_service - normalised_service(other), 0.0) * other.weight;
         ahead += std::min(other.queued_cost, before_own_turn);
     }
     return AK::from_seconds(ahead / capacity);
