--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -166,7 +166,8 @@
 void RouterLoop::drop_unknown_generations(Pool& pool, EngineId const& id, EngineReport const& report)
 {
     std::set<GenerationId> listed(report.generations.begin(), report.generations.end());
-    for (auto const& [generation, attempt] : pool.scheduler.unlisted_since(id, listed, now() - unlisted_limit)) {
+    for (auto const& [generation, attempt] :
+        pool.scheduler.find_unlisted_generations(id, listed, now() - unlisted_limit)) {
         pool.scheduler.finished(generation, attempt, Scheduling::EndReason::Censored, TokenCount(0), now());
         pool.askers.erase(generation);
         this->pool_of_generation.erase(generation);
--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -304,7 +304,7 @@
     return index && this->tables.generations[*index].state == GenerationState::Queued;
 }
 
-std::vector<std::pair<GenerationId, AttemptNumber>> PoolState::unlisted_since(
+std::vector<std::pair<GenerationId, AttemptNumber>> PoolState::find_unlisted_generations(
     EngineId const& id, std::set<GenerationId> const& listed, Instant placed_before) const
 {
     std::vector<std::pair<GenerationId, AttemptNumber>> result;
--- a/Libraries/LibScheduling/PoolState.h
+++ b/Libraries/LibScheduling/PoolState.h
@@ -77,7 +77,7 @@
     [[nodiscard]] bool knows(GenerationId const&) const;
     [[nodiscard]] bool is_queued(GenerationId const&) const;
     /// Generations believed to be on the engine since before `placed_before` that it does not list.
-    [[nodiscard]] std::vector<std::pair<GenerationId, AttemptNumber>> unlisted_since(
+    [[nodiscard]] std::vector<std::pair<GenerationId, AttemptNumber>> find_unlisted_generations(
         EngineId const&, std::set<GenerationId> const& listed, Instant placed_before) const;
 
     [[nodiscard]] Tables const& view() const { return this->tables; }
--- a/Tests/LibScheduling/TestPoolScheduler.cpp
+++ b/Tests/LibScheduling/TestPoolScheduler.cpp
@@ -240,7 +240,10 @@
             TokenCount(500), TokenCount(40), TokenCount(2000), engine_a },
         start);
     CHECK(pool.scheduler.view().engines[0].generations.size() == 1);
-    WHEN("the engine does not list it") { CHECK(pool.scheduler.unlisted_since(engine_a, {}, start + 1s).size() == 1); }
+    WHEN("the engine does not list it")
+    {
+        CHECK(pool.scheduler.find_unlisted_generations(engine_a, {}, start + 1s).size() == 1);
+    }
     WHEN("the engine goes away")
     {
         pool.scheduler.remove_engine(engine_a);
