--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -154,7 +154,7 @@
     pool.scheduler.load_report(id,
         { report.used_tokens, report.running, report.waiting, report.steps, report.preemptions, report.age }, now());
     if (report.cache_has_gap)
-        pool.scheduler.forget_prefixes(id);
+        pool.scheduler.clear_cached_prefixes(id);
     for (auto const& [hash, is_present] : report.cache_events)
         pool.scheduler.prefix_cached(id, hash, is_present);
     engine.cache_sequence = report.cache_sequence;
--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -290,7 +290,7 @@
         engine->cached_prefixes.erase(prefix_hash);
 }
 
-void PoolState::forget_prefixes(EngineId const& id)
+void PoolState::clear_cached_prefixes(EngineId const& id)
 {
     if (auto* engine = find_engine(this->tables, id))
         engine->cached_prefixes.clear();
--- a/Libraries/LibScheduling/PoolState.h
+++ b/Libraries/LibScheduling/PoolState.h
@@ -71,7 +71,7 @@
     void expect_reports(Instant now);
     void prefix_cached(EngineId const&, u64 prefix_hash, bool is_present);
     /// Forgets what is believed of an engine's prefix cache, because events of it were lost.
-    void forget_prefixes(EngineId const&);
+    void clear_cached_prefixes(EngineId const&);
     void rebuild(RunningGeneration const&, Instant now);
 
     [[nodiscard]] bool knows(GenerationId const&) const;
