--- a/Libraries/LibScheduling/PoolScheduler.h
+++ b/Libraries/LibScheduling/PoolScheduler.h
@@ -99,9 +99,9 @@
         double usage = 0;
         for (auto index : engine.generations)
             usage += this->tables.generations[index].prompt + this->tables.generations[index].produced;
-        engine.own_usage.emplace_back(now, usage);
-        if (engine.own_usage.size() > kept_usage_samples)
-            engine.own_usage.pop_front();
+        engine.usage_history.emplace_back(now, usage);
+        if (engine.usage_history.size() > kept_usage_samples)
+            engine.usage_history.pop_front();
     }
     auto& last_large = this->tables.last_large_request;
     if (last_large && now - *last_large > this->constants.large_request_window)
--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -258,7 +258,7 @@
         adjust_safety(this->tables, this->constants, report.preemptions - engine->report->preemptions, 0, now);
     auto measured_at = now - report.age;
     auto believed = 0.0;
-    for (auto const& [at, tokens] : engine->own_usage) {
+    for (auto const& [at, tokens] : engine->usage_history) {
         if (at <= measured_at)
             believed = tokens;
     }
--- a/Libraries/LibScheduling/Tables.h
+++ b/Libraries/LibScheduling/Tables.h
@@ -111,7 +111,7 @@
     /// Memory in use that this process did not place, from the last report.
     double foreign_tokens { 0 };
     /// What this process believed to be in use at recent ticks, to hold a late report against.
-    std::deque<std::pair<Instant, double>> own_usage;
+    std::deque<std::pair<Instant, double>> usage_history;
     std::unordered_set<u64> cached_prefixes;
 };
 
