--- a/Libraries/LibScheduling/PoolScheduler.h
+++ b/Libraries/LibScheduling/PoolScheduler.h
@@ -74,7 +74,7 @@
             return;
         if (this->place_one_of(*organisation, now))
             continue;
-        this->tables.last_short_of_memory = now;
+        this->tables.last_memory_shortage = now;
         auto const& head = this->tables.generations[this->tables.organisations[*organisation].queue.front()];
         if (this->has_waited_long(head, now) && !this->constants.reserves_engine)
             return;
--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -58,7 +58,7 @@
 void adjust_safety(Tables& tables, PolicyConstants const& constants, double preemptions, double finished, Instant now)
 {
     auto change = preemptions;
-    if (tables.last_short_of_memory && now - *tables.last_short_of_memory < constants.shortage_duration)
+    if (tables.last_memory_shortage && now - *tables.last_memory_shortage < constants.shortage_duration)
         change -= finished * constants.target_preemptions_per_generation;
     tables.safety_deviations = std::clamp(
         tables.safety_deviations + constants.safety_gain * change, constants.min_safety, constants.max_safety);
--- a/Libraries/LibScheduling/Tables.h
+++ b/Libraries/LibScheduling/Tables.h
@@ -165,7 +165,7 @@
     /// What waits have been, as a multiple of what was reckoned from the queues alone.
     double wait_correction { 1.5 };
     /// When something last had to wait for memory.
-    std::optional<Instant> last_short_of_memory;
+    std::optional<Instant> last_memory_shortage;
     /// When a request last came that needs much of an engine at once.
     std::optional<Instant> last_large_request;
     std::vector<Action> actions;
