--- a/Libraries/LibScheduling/LengthForecast.h
+++ b/Libraries/LibScheduling/LengthForecast.h
@@ -117,7 +117,7 @@
         std::unordered_map<std::string, std::unique_ptr<LengthHistogram>>& histograms, std::string const& key);
 
     std::unordered_map<std::string, Index> index_of_key;
-    std::unordered_map<std::string, std::unique_ptr<LengthHistogram>> of_model;
+    std::unordered_map<std::string, std::unique_ptr<LengthHistogram>> model_histograms;
     std::unordered_map<std::string, std::unique_ptr<LengthHistogram>> of_organisation;
     std::vector<Leaf> leaves;
 };
