--- a/Libraries/LibScheduling/LengthForecast.h
+++ b/Libraries/LibScheduling/LengthForecast.h
@@ -118,7 +118,7 @@
 
     std::unordered_map<std::string, Index> index_of_key;
     std::unordered_map<std::string, std::unique_ptr<LengthHistogram>> model_histograms;
-    std::unordered_map<std::string, std::unique_ptr<LengthHistogram>> of_organisation;
+    std::unordered_map<std::string, std::unique_ptr<LengthHistogram>> organisation_histograms;
     std::vector<Leaf> leaves;
 };
 
