--- a/Libraries/LibScheduling/LengthForecast.cpp
+++ b/Libraries/LibScheduling/LengthForecast.cpp
@@ -124,7 +124,7 @@
     if (is_new) {
         this->leaves.push_back(
             { LengthHistogram(histogram_memory), &find_or_make(this->of_organisation, organisation_key),
-                &find_or_make(this->of_model, key.model.value()), SurvivalCurve(prior_hazards), true });
+                &find_or_make(this->model_histograms, key.model.value()), SurvivalCurve(prior_hazards), true });
         this->leaves.back().curve = SurvivalCurve(this->hazards_of(this->leaves.back()));
     }
     return entry->second;
