--- a/Libraries/LibScheduling/LengthForecast.cpp
+++ b/Libraries/LibScheduling/LengthForecast.cpp
@@ -123,7 +123,7 @@
     auto [entry, is_new] = this->index_of_key.try_emplace(leaf_key, static_cast<Index>(this->leaves.size()));
     if (is_new) {
         this->leaves.push_back(
-            { LengthHistogram(histogram_memory), &find_or_make(this->of_organisation, organisation_key),
+            { LengthHistogram(histogram_memory), &find_or_make(this->organisation_histograms, organisation_key),
                 &find_or_make(this->model_histograms, key.model.value()), SurvivalCurve(prior_hazards), true });
         this->leaves.back().curve = SurvivalCurve(this->hazards_of(this->leaves.back()));
     }
