--- a/Libraries/LibScheduling/LengthForecast.cpp
+++ b/Libraries/LibScheduling/LengthForecast.cpp
@@ -106,7 +106,7 @@
     return (1 - passing) / rate + passing * beyond;
 }
 
-LengthHistogram& LengthForecasts::find_or_make(
+LengthHistogram& LengthForecasts::find_or_create(
     std::unordered_map<std::string, std::unique_ptr<LengthHistogram>>& histograms, std::string const& key)
 {
     auto& histogram = histograms[key];
@@ -123,8 +123,8 @@
     auto [entry, is_new] = this->index_of_key.try_emplace(leaf_key, static_cast<Index>(this->leaves.size()));
     if (is_new) {
         this->leaves.push_back(
-            { LengthHistogram(histogram_memory), &find_or_make(this->organisation_histograms, organisation_key),
-                &find_or_make(this->model_histograms, key.model.value()), SurvivalCurve(prior_hazards), true });
+            { LengthHistogram(histogram_memory), &find_or_create(this->organisation_histograms, organisation_key),
+                &find_or_create(this->model_histograms, key.model.value()), SurvivalCurve(prior_hazards), true });
         this->leaves.back().curve = SurvivalCurve(this->hazards_of(this->leaves.back()));
     }
     return entry->second;
--- a/Libraries/LibScheduling/LengthForecast.h
+++ b/Libraries/LibScheduling/LengthForecast.h
@@ -113,7 +113,7 @@
 
     void enter(Index index, size_t bin);
     [[nodiscard]] std::array<double, LengthBins::count> hazards_of(Leaf const&) const;
-    static LengthHistogram& find_or_make(
+    static LengthHistogram& find_or_create(
         std::unordered_map<std::string, std::unique_ptr<LengthHistogram>>& histograms, std::string const& key);
 
     std::unordered_map<std::string, Index> index_of_key;
