--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -157,12 +157,12 @@
 
     row.estimated_wait = estimated_wait(this->tables, organisation_number, row.charged);
     auto wait = corrected_wait(this->tables, row.estimated_wait);
-    auto longest_wait = AK::from_seconds(AK::to_seconds(request.deadline) * this->constants.refusal_share);
-    if (this->constants.refuses_by_forecast && wait > longest_wait) {
+    auto max_wait = AK::from_seconds(AK::to_seconds(request.deadline) * this->constants.refusal_share);
+    if (this->constants.refuses_by_forecast && wait > max_wait) {
         this->refuse_new(request,
             { ErrorKind::Overloaded,
                 "the queue is longer than the deadline allows; come back after the time given, or allow a later one",
-                retry_after(wait - longest_wait) });
+                retry_after(wait - max_wait) });
         return;
     }
     this->enqueue(add_generation(this->tables, std::move(row)));
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -106,7 +106,7 @@
     Libraries/LibConfiguration/Configuration.cpp "return find_in(this->routes, RouteKey(organisation, name));" \
     "for (auto const& [key, route] : this->routes) { if (key.second == name) return &route; } return nullptr;"
 guard "refused at once" TestLibScheduling "Scenario: a request that cannot be served in time is refused at once, with when to come back" \
-    Libraries/LibScheduling/PoolState.cpp "this->constants.refuses_by_forecast && wait > longest_wait" "false"
+    Libraries/LibScheduling/PoolState.cpp "this->constants.refuses_by_forecast && wait > max_wait" "false"
 guard "the lease's own clock" TestLibPlatform "pauses, lost answers and outages never make two holders, and epochs only grow" \
     Libraries/LibPlatform/Lease.h "return this->held_until && now < *this->held_until - this->margin;" \
     "return this->held_until.has_value();"
