--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -11,7 +11,7 @@
 namespace Scheduling {
 
 static constexpr Duration shortest_retry = 1s;
-static constexpr Duration longest_retry = 60s;
+static constexpr Duration max_retry_after = 60s;
 // Memory is never full on average: prompts do not fit exactly and a margin is kept.
 static constexpr double usable_memory_share = 0.8;
 
@@ -103,7 +103,7 @@
     remove_generation(tables, index);
 }
 
-Duration retry_after(Duration expected_wait) { return std::clamp(expected_wait, shortest_retry, longest_retry); }
+Duration retry_after(Duration expected_wait) { return std::clamp(expected_wait, shortest_retry, max_retry_after); }
 
 void expire_queue(Tables& tables, Instant now)
 {
@@ -186,7 +186,7 @@
             capacity += engine.capacity * usable_memory_share;
     }
     if (capacity <= 0)
-        return longest_retry;
+        return max_retry_after;
     auto const& own = tables.organisations[organisation];
     auto own_service = normalised_service(own) + (own.queued_cost + own_cost) / own.weight;
     auto ahead = own.queued_cost;
