--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -10,7 +10,7 @@
 
 namespace Scheduling {
 
-static constexpr Duration shortest_retry = 1s;
+static constexpr Duration min_retry_after = 1s;
 static constexpr Duration max_retry_after = 60s;
 // Memory is never full on average: prompts do not fit exactly and a margin is kept.
 static constexpr double usable_memory_share = 0.8;
@@ -103,7 +103,7 @@
     remove_generation(tables, index);
 }
 
-Duration retry_after(Duration expected_wait) { return std::clamp(expected_wait, shortest_retry, max_retry_after); }
+Duration retry_after(Duration expected_wait) { return std::clamp(expected_wait, min_retry_after, max_retry_after); }
 
 void expire_queue(Tables& tables, Instant now)
 {
