--- a/Libraries/LibScheduling/LengthForecast.cpp
+++ b/Libraries/LibScheduling/LengthForecast.cpp
@@ -20,7 +20,7 @@
 // requests refused on a fresh pool that had room for them.
 static constexpr double prior_median = 100;
 static constexpr double prior_sigma = 1.2;
-static constexpr double largest_hazard = 0.999;
+static constexpr double max_hazard = 0.999;
 static constexpr double renormalise_above = 1e9;
 
 static double prior_survival(double tokens)
@@ -69,13 +69,13 @@
     // An output that entered long ago weighs less than its recent end; never let that make a certainty.
     auto entered_count = std::max(this->entered[bin] / this->weight, finished_count);
     auto hazard = (finished_count + strength * prior) / (entered_count + strength);
-    return std::min(hazard, largest_hazard);
+    return std::min(hazard, max_hazard);
 }
 
 SurvivalCurve::SurvivalCurve(std::array<double, LengthBins::count> const& hazards)
 {
     for (size_t bin = 0; bin < LengthBins::count; ++bin) {
-        auto log_step = std::log1p(-std::min(hazards[bin], largest_hazard));
+        auto log_step = std::log1p(-std::min(hazards[bin], max_hazard));
         auto width = LengthBins::lower(bin + 1) - LengthBins::lower(bin);
         this->log_at_edge[bin + 1] = this->log_at_edge[bin] + log_step;
         this->slope[bin] = log_step / width;
