--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -17,10 +17,10 @@
 
 namespace OverloadModel {
 
-using Way = ModelPool::Way;
+using Policy = ModelPool::Policy;
 
-static constexpr std::array known_ways { std::pair { "take-all", Way::TakeAll },
-    std::pair { "admission", Way::Admission } };
+static constexpr std::array known_ways { std::pair { "take-all", Policy::TakeAll },
+    std::pair { "admission", Policy::Admission } };
 static constexpr std::array known_patterns { std::pair { "steady", Pattern::Steady },
     std::pair { "after-burst", Pattern::AfterBurst }, std::pair { "engines-leave", Pattern::EnginesLeave } };
 
@@ -34,7 +34,7 @@
     return std::ranges::find(names, value, [](auto const& entry) { return entry.second; })->first;
 }
 
-std::string to_string(Way way) { return name_of(known_ways, way); }
+std::string to_string(Policy way) { return name_of(known_ways, way); }
 std::string to_string(Pattern pattern) { return name_of(known_patterns, pattern); }
 
 template<typename Names>
--- a/Libraries/LibOverloadModel/Experiment.h
+++ b/Libraries/LibOverloadModel/Experiment.h
@@ -43,7 +43,7 @@
 
 /// What is to be played: each way with each pattern, number of hosts, load and seed.
 struct Experiment {
-    std::vector<ModelPool::Way> ways;
+    std::vector<ModelPool::Policy> ways;
     std::vector<Pattern> patterns;
     std::vector<u32> hosts;
     std::vector<double> loads;
@@ -59,7 +59,7 @@
 /// there are. `on_progress` is called from any thread, one at a time, with how many are done.
 std::vector<CellResult> run_cells(std::vector<Cell> const&, std::function<void(size_t)> const& on_progress);
 
-std::string to_string(ModelPool::Way);
+std::string to_string(ModelPool::Policy);
 std::string to_string(Pattern);
 /// One line.
 std::string to_json(CellResult const&);
--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -24,13 +24,13 @@
 /// back once, as told.
 class ModelPool {
 public:
-    enum class Way : u8 {
+    enum class Policy : u8 {
         /// Each generation goes to the cheapest engine, however full.
         TakeAll,
         Admission,
     };
     struct Shape {
-        Way way { Way::Admission };
+        Policy way { Policy::Admission };
         u32 hosts { 62 };
         /// Beside what a fleet of that size takes to hear.
         Duration beliefs_late_by { 0 };
@@ -225,7 +225,7 @@
         Serving::ChoiceInputs const inputs { name, {}, this->now, 0.3, {}, name, this->unseen_placements() };
         Serving::GenerationNeed const need { TokenCount(generation.prompt), TokenCount(generation.guess) };
         auto const& candidates = this->beliefs[domain].of_service(ServiceName("models"));
-        if (this->shape.way == Way::Admission)
+        if (this->shape.way == Policy::Admission)
             return Serving::admit(
                 candidates, {}, { need, generation.goal }, TokenCount(memory), inputs, this->choice_random);
         Serving::Admission taken;
--- a/Tests/Fleet/TestOverload.cpp
+++ b/Tests/Fleet/TestOverload.cpp
@@ -8,9 +8,9 @@
 #include <catch2/catch.hpp>
 
 using OverloadModel::ModelPool;
-using Way = ModelPool::Way;
+using Policy = ModelPool::Policy;
 
-static ModelPool::Outcome under_load(Way way, u32 hosts, double load, Duration late = 0s)
+static ModelPool::Outcome under_load(Policy way, u32 hosts, double load, Duration late = 0s)
 {
     ModelPool pool({ way, hosts, late, 7 });
     pool.run(std::min(load, 0.8), 10s);
@@ -26,27 +26,27 @@
     auto peak = 0U;
     for (auto const load : { 0.8, 1.0, 1.3, 2.0, 3.0 }) {
         INFO("load " << load);
-        auto const outcome = under_load(Way::Admission, hosts, load);
+        auto const outcome = under_load(Policy::Admission, hosts, load);
         CHECK(outcome.in_time >= 0.9 * peak);
         CHECK(outcome.in_time + outcome.late + outcome.refused <= outcome.asked);
         peak = std::max(peak, outcome.in_time);
     }
     THEN("it does where each generation is taken")
     {
-        CHECK(under_load(Way::TakeAll, hosts, 3.0).in_time < 0.5 * under_load(Way::TakeAll, hosts, 0.8).in_time);
+        CHECK(under_load(Policy::TakeAll, hosts, 3.0).in_time < 0.5 * under_load(Policy::TakeAll, hosts, 0.8).in_time);
     }
 }
 
 SCENARIO("nothing is refused while half of the engines' memory is free")
 {
     auto const hosts = GENERATE(6U, 62U, 300U);
-    CHECK(under_load(Way::Admission, hosts, 0.5).refused == 0);
+    CHECK(under_load(Policy::Admission, hosts, 0.5).refused == 0);
 }
 
 SCENARIO("engines that leave by sixths bring down no more than their share")
 {
     auto const hosts = GENERATE(6U, 62U, 300U);
-    ModelPool pool({ Way::Admission, hosts, 0s, 13 });
+    ModelPool pool({ Policy::Admission, hosts, 0s, 13 });
     pool.run(0.8, 10s);
     std::vector<std::shared_ptr<ModelPool::Outcome const>> outcomes;
     for (int i = 0; i < 4; ++i) {
@@ -62,6 +62,7 @@
 {
     for (auto const load : { 1.3, 2.0, 3.0 }) {
         INFO("load " << load);
-        CHECK(under_load(Way::Admission, 62, load, 3s).in_time > 1.5 * under_load(Way::TakeAll, 62, load, 3s).in_time);
+        CHECK(under_load(Policy::Admission, 62, load, 3s).in_time
+            > 1.5 * under_load(Policy::TakeAll, 62, load, 3s).in_time);
     }
 }
--- a/Tests/FleetBurst/TestBurst.cpp
+++ b/Tests/FleetBurst/TestBurst.cpp
@@ -8,7 +8,7 @@
 #include <catch2/catch.hpp>
 
 using OverloadModel::ModelPool;
-using Way = ModelPool::Way;
+using Policy = ModelPool::Policy;
 
 SCENARIO("a burst is over for callers two seconds after its end")
 {
@@ -16,7 +16,7 @@
     auto const burst = GENERATE(2.0, 3.0);
     auto const seed = GENERATE(range(11U, 21U));
     INFO(hosts << " hosts, " << burst << " times, seed " << seed);
-    ModelPool pool({ Way::Admission, hosts, 0s, seed });
+    ModelPool pool({ Policy::Admission, hosts, 0s, seed });
     pool.run(0.7, 10s);
     pool.run(burst, 7s);
     pool.run(0.7, 2s);
--- a/Tests/LibOverloadModel/TestExperiment.cpp
+++ b/Tests/LibOverloadModel/TestExperiment.cpp
@@ -26,7 +26,7 @@
         REQUIRE(experiment.has_value());
         auto const cells = experiment.value().cells();
         CHECK(cells.size() == 8);
-        CHECK(cells.back().shape.way == ModelPool::Way::TakeAll);
+        CHECK(cells.back().shape.way == ModelPool::Policy::TakeAll);
         CHECK(cells.back().shape.seed == 2);
         CHECK(cells.back().shape.beliefs_late_by == 3s);
         CHECK(cells.back().load == 1.3);
@@ -79,7 +79,7 @@
 
 SCENARIO("the table adds up the seeds of a line")
 {
-    Cell const first { { ModelPool::Way::Admission, 62, 0s, 1 }, Pattern::Steady, 1.3 };
+    Cell const first { { ModelPool::Policy::Admission, 62, 0s, 1 }, Pattern::Steady, 1.3 };
     auto second = first;
     second.shape.seed = 2;
     std::vector<CellResult> const results { { first, { 100, 90, 5, 5 } }, { second, { 100, 70, 10, 20 } } };
