--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -34,7 +34,7 @@
     return std::ranges::find(names, value, [](auto const& entry) { return entry.second; })->first;
 }
 
-std::string to_string(Policy way) { return name_of(known_ways, way); }
+std::string to_string(Policy policy) { return name_of(known_ways, policy); }
 std::string to_string(Pattern pattern) { return name_of(known_patterns, pattern); }
 
 template<typename Names>
@@ -101,10 +101,10 @@
     std::vector<Cell> cells;
     for (auto const pattern : this->patterns)
         for (auto const hosts_of_cell : this->hosts)
-            for (auto const way : this->ways)
+            for (auto const policy : this->ways)
                 for (auto const load : this->loads)
                     for (u32 seed = 1; seed <= this->seeds; ++seed)
-                        cells.push_back({ { way, hosts_of_cell, this->beliefs_late_by, seed }, pattern, load });
+                        cells.push_back({ { policy, hosts_of_cell, this->beliefs_late_by, seed }, pattern, load });
     return cells;
 }
 
@@ -175,7 +175,7 @@
 {
     auto const& [cell, outcome] = result;
     Poco::JSON::Object object;
-    object.set("way", to_string(cell.shape.way));
+    object.set("way", to_string(cell.shape.policy));
     object.set("pattern", to_string(cell.pattern));
     object.set("hosts", cell.shape.hosts);
     object.set("load", cell.load);
@@ -202,7 +202,7 @@
         }
         [[nodiscard]] bool is_of_block(Cell const& other) const
         {
-            return this->cell.shape.way == other.shape.way && this->cell.pattern == other.pattern
+            return this->cell.shape.policy == other.shape.policy && this->cell.pattern == other.pattern
                 && this->cell.shape.hosts == other.shape.hosts;
         }
         [[nodiscard]] double share(u32 count) const { return count / std::max(1.0, double(this->outcome.asked)); }
@@ -229,9 +229,9 @@
     for (auto const& line : sum_up_seeds(results)) {
         auto const& outcome = line.outcome;
         out << "| " << to_string(line.cell.pattern) << " | " << line.cell.shape.hosts << " | "
-            << to_string(line.cell.shape.way) << " | " << line.cell.load << " | " << std::fixed << std::setprecision(3)
-            << line.share(outcome.in_time) << " | " << line.share(outcome.late) << " | " << line.share(outcome.refused)
-            << " |\n"
+            << to_string(line.cell.shape.policy) << " | " << line.cell.load << " | " << std::fixed
+            << std::setprecision(3) << line.share(outcome.in_time) << " | " << line.share(outcome.late) << " | "
+            << line.share(outcome.refused) << " |\n"
             << std::defaultfloat << std::setprecision(6);
     }
     return out.str();
@@ -245,7 +245,7 @@
     for (auto const& line : lines) {
         if (!before || !before->is_of_block(line.cell)) {
             out << (before ? "\n\n" : "") << '"' << to_string(line.cell.pattern) << ", " << line.cell.shape.hosts
-                << " hosts, " << to_string(line.cell.shape.way) << "\"\n";
+                << " hosts, " << to_string(line.cell.shape.policy) << "\"\n";
         }
         out << line.cell.load << ' ' << line.share(line.outcome.in_time) << ' ' << line.share(line.outcome.refused)
             << '\n';
--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -30,7 +30,7 @@
         Admission,
     };
     struct Shape {
-        Policy way { Policy::Admission };
+        Policy policy { Policy::Admission };
         u32 hosts { 62 };
         /// Beside what a fleet of that size takes to hear.
         Duration beliefs_late_by { 0 };
@@ -225,7 +225,7 @@
         Serving::ChoiceInputs const inputs { name, {}, this->now, 0.3, {}, name, this->unseen_placements() };
         Serving::GenerationNeed const need { TokenCount(generation.prompt), TokenCount(generation.guess) };
         auto const& candidates = this->beliefs[domain].of_service(ServiceName("models"));
-        if (this->shape.way == Policy::Admission)
+        if (this->shape.policy == Policy::Admission)
             return Serving::admit(
                 candidates, {}, { need, generation.goal }, TokenCount(memory), inputs, this->choice_random);
         Serving::Admission taken;
--- a/Tests/LibOverloadModel/TestExperiment.cpp
+++ b/Tests/LibOverloadModel/TestExperiment.cpp
@@ -26,7 +26,7 @@
         REQUIRE(experiment.has_value());
         auto const cells = experiment.value().cells();
         CHECK(cells.size() == 8);
-        CHECK(cells.back().shape.way == ModelPool::Policy::TakeAll);
+        CHECK(cells.back().shape.policy == ModelPool::Policy::TakeAll);
         CHECK(cells.back().shape.seed == 2);
         CHECK(cells.back().shape.beliefs_late_by == 3s);
         CHECK(cells.back().load == 1.3);
