--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -78,14 +78,14 @@
 Result<Experiment> Experiment::read(Core::SettingsReader reader)
 {
     Experiment experiment;
-    experiment.ways = read_names(reader, "ways", known_ways);
+    experiment.policies = read_names(reader, "ways", known_ways);
     experiment.patterns = read_names(reader, "patterns", known_patterns);
     experiment.hosts = read_numbers<u32>(reader, "hosts", 1, most_hosts);
     experiment.loads = read_numbers<double>(reader, "loads", 0.01, largest_load);
     experiment.beliefs_late_by = reader.duration_or("beliefs-late-by", 0s);
     experiment.seeds = static_cast<u32>(reader.whole_number_or("seeds", 1, 1, most_seeds));
     for (auto const& [key, is_empty] :
-        { std::pair { "ways", experiment.ways.empty() }, std::pair { "patterns", experiment.patterns.empty() },
+        { std::pair { "ways", experiment.policies.empty() }, std::pair { "patterns", experiment.patterns.empty() },
             std::pair { "hosts", experiment.hosts.empty() }, std::pair { "loads", experiment.loads.empty() } }) {
         if (is_empty)
             reader.add_error(key, "has no value that can be used; write a list of one at least");
@@ -101,7 +101,7 @@
     std::vector<Cell> cells;
     for (auto const pattern : this->patterns)
         for (auto const hosts_of_cell : this->hosts)
-            for (auto const policy : this->ways)
+            for (auto const policy : this->policies)
                 for (auto const load : this->loads)
                     for (u32 seed = 1; seed <= this->seeds; ++seed)
                         cells.push_back({ { policy, hosts_of_cell, this->beliefs_late_by, seed }, pattern, load });
--- a/Libraries/LibOverloadModel/Experiment.h
+++ b/Libraries/LibOverloadModel/Experiment.h
@@ -43,7 +43,7 @@
 
 /// What is to be played: each way with each pattern, number of hosts, load and seed.
 struct Experiment {
-    std::vector<ModelPool::Policy> ways;
+    std::vector<ModelPool::Policy> policies;
     std::vector<Pattern> patterns;
     std::vector<u32> hosts;
     std::vector<double> loads;
