--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -19,7 +19,7 @@
 
 using Policy = ModelPool::Policy;
 
-static constexpr std::array known_ways { std::pair { "take-all", Policy::TakeAll },
+static constexpr std::array known_policies { std::pair { "take-all", Policy::TakeAll },
     std::pair { "admission", Policy::Admission } };
 static constexpr std::array known_patterns { std::pair { "steady", Pattern::Steady },
     std::pair { "after-burst", Pattern::AfterBurst }, std::pair { "engines-leave", Pattern::EnginesLeave } };
@@ -34,7 +34,7 @@
     return std::ranges::find(names, value, [](auto const& entry) { return entry.second; })->first;
 }
 
-std::string to_string(Policy policy) { return name_of(known_ways, policy); }
+std::string to_string(Policy policy) { return name_of(known_policies, policy); }
 std::string to_string(Pattern pattern) { return name_of(known_patterns, pattern); }
 
 template<typename Names>
@@ -78,7 +78,7 @@
 Result<Experiment> Experiment::read(Core::SettingsReader reader)
 {
     Experiment experiment;
-    experiment.policies = read_names(reader, "ways", known_ways);
+    experiment.policies = read_names(reader, "ways", known_policies);
     experiment.patterns = read_names(reader, "patterns", known_patterns);
     experiment.hosts = read_numbers<u32>(reader, "hosts", 1, most_hosts);
     experiment.loads = read_numbers<double>(reader, "loads", 0.01, largest_load);
