--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -181,7 +181,7 @@
     object.set("load", cell.load);
     object.set("beliefs_late_ms", AK::to_milliseconds(cell.shape.beliefs_late_by));
     object.set("seed", cell.shape.seed);
-    object.set("asked", outcome.asked);
+    object.set("asked", outcome.requests);
     object.set("in_time", outcome.in_time);
     object.set("late", outcome.late);
     object.set("refused", outcome.refused);
@@ -205,7 +205,7 @@
             return this->cell.shape.policy == other.shape.policy && this->cell.pattern == other.pattern
                 && this->cell.shape.hosts == other.shape.hosts;
         }
-        [[nodiscard]] double share(u32 count) const { return count / std::max(1.0, double(this->outcome.asked)); }
+        [[nodiscard]] double share(u32 count) const { return count / std::max(1.0, double(this->outcome.requests)); }
     };
 
 }
--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -37,7 +37,7 @@
         u32 seed { 1 };
     };
     struct Outcome {
-        u32 asked { 0 };
+        u32 requests { 0 };
         u32 in_time { 0 };
         /// Had its first event too late, or a pause after it: what has to be read anew takes longer than a stream may
         /// pause. Who has no event by then is neither this nor in time.
@@ -45,13 +45,13 @@
         u32 refused { 0 };
         Outcome& operator+=(Outcome const& other)
         {
-            this->asked += other.asked;
+            this->requests += other.requests;
             this->in_time += other.in_time;
             this->late += other.late;
             this->refused += other.refused;
             return *this;
         }
-        [[nodiscard]] double share_in_time() const { return this->in_time / std::max(1.0, double(this->asked)); }
+        [[nodiscard]] double share_in_time() const { return this->in_time / std::max(1.0, double(this->requests)); }
     };
 
     /// The longest goal with the longest wait of a caller that is refused, and room for both.
@@ -199,7 +199,7 @@
         auto generation = this->draw_generation();
         generation.first_asked_at = this->now;
         generation.outcome = std::move(outcome);
-        ++generation.outcome->asked;
+        ++generation.outcome->requests;
         this->ask(std::move(generation));
     }
 
--- a/Tests/Fleet/TestOverload.cpp
+++ b/Tests/Fleet/TestOverload.cpp
@@ -28,7 +28,7 @@
         INFO("load " << load);
         auto const outcome = under_load(Policy::Admission, hosts, load);
         CHECK(outcome.in_time >= 0.9 * peak);
-        CHECK(outcome.in_time + outcome.late + outcome.refused <= outcome.asked);
+        CHECK(outcome.in_time + outcome.late + outcome.refused <= outcome.requests);
         peak = std::max(peak, outcome.in_time);
     }
     THEN("it does where each generation is taken")
