--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -114,7 +114,7 @@
 {
     pool.run(std::min(load, 0.8), warm_up);
     auto const outcome = pool.run(load, 20s);
-    pool.run(load, ModelPool::longest_settling);
+    pool.run(load, ModelPool::max_settling_time);
     return *outcome;
 }
 
@@ -125,7 +125,7 @@
     pool.run(load, 7s);
     pool.run(ordinary_load, 2s);
     auto const outcome = pool.run(ordinary_load, 5s);
-    pool.run(ordinary_load, ModelPool::longest_settling);
+    pool.run(ordinary_load, ModelPool::max_settling_time);
     return *outcome;
 }
 
@@ -137,7 +137,7 @@
         pool.replace_engines(6);
         outcomes.push_back(pool.run(load, 3300ms));
     }
-    pool.run(load, ModelPool::longest_settling);
+    pool.run(load, ModelPool::max_settling_time);
     ModelPool::Outcome sum;
     for (auto const& outcome : outcomes)
         sum += *outcome;
--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -55,7 +55,7 @@
     };
 
     /// The longest goal with the longest wait of a caller that is refused, and room for both.
-    static constexpr Duration longest_settling = 3s;
+    static constexpr Duration max_settling_time = 3s;
     static constexpr u32 engine_count = 60;
     static constexpr u32 domain_count = 3;
     static constexpr i64 memory = 21'878;
@@ -79,7 +79,7 @@
     }
 
     /// Callers ask for `load` times as many tokens held over time as the engines have, for `span`. Answers what becomes
-    /// of those that asked first in it; they are settled once it has been played on for longest_settling.
+    /// of those that asked first in it; they are settled once it has been played on for max_settling_time.
     std::shared_ptr<Outcome const> run(double load, Duration span)
     {
         auto outcome = std::make_shared<Outcome>();
--- a/Tests/Fleet/TestOverload.cpp
+++ b/Tests/Fleet/TestOverload.cpp
@@ -15,7 +15,7 @@
     ModelPool pool({ policy, hosts, late, 7 });
     pool.run(std::min(load, 0.8), 10s);
     auto const outcome = pool.run(load, 20s);
-    pool.run(load, ModelPool::longest_settling);
+    pool.run(load, ModelPool::max_settling_time);
     return *outcome;
 }
 
@@ -53,7 +53,7 @@
         pool.replace_engines(6);
         outcomes.push_back(pool.run(0.8, 3300ms));
     }
-    pool.run(0.8, ModelPool::longest_settling);
+    pool.run(0.8, ModelPool::max_settling_time);
     for (auto const& outcome : outcomes)
         CHECK(outcome->share_in_time() >= 0.8);
 }
--- a/Tests/FleetBurst/TestBurst.cpp
+++ b/Tests/FleetBurst/TestBurst.cpp
@@ -21,6 +21,6 @@
     pool.run(burst, 7s);
     pool.run(0.7, 2s);
     auto const after = pool.run(0.7, 5s);
-    pool.run(0.7, ModelPool::longest_settling);
+    pool.run(0.7, ModelPool::max_settling_time);
     CHECK(after->share_in_time() >= 0.95);
 }
