--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -82,7 +82,7 @@
     experiment.patterns = read_names(reader, "patterns", known_patterns);
     experiment.hosts = read_numbers<u32>(reader, "hosts", 1, most_hosts);
     experiment.loads = read_numbers<double>(reader, "loads", 0.01, largest_load);
-    experiment.beliefs_late_by = reader.duration_or("beliefs-late-by", 0s);
+    experiment.extra_update_delay = reader.duration_or("beliefs-late-by", 0s);
     experiment.seeds = static_cast<u32>(reader.whole_number_or("seeds", 1, 1, most_seeds));
     for (auto const& [key, is_empty] :
         { std::pair { "ways", experiment.policies.empty() }, std::pair { "patterns", experiment.patterns.empty() },
@@ -104,7 +104,7 @@
             for (auto const policy : this->policies)
                 for (auto const load : this->loads)
                     for (u32 seed = 1; seed <= this->seeds; ++seed)
-                        cells.push_back({ { policy, hosts_of_cell, this->beliefs_late_by, seed }, pattern, load });
+                        cells.push_back({ { policy, hosts_of_cell, this->extra_update_delay, seed }, pattern, load });
     return cells;
 }
 
@@ -179,7 +179,7 @@
     object.set("pattern", to_string(cell.pattern));
     object.set("hosts", cell.shape.hosts);
     object.set("load", cell.load);
-    object.set("beliefs_late_ms", AK::to_milliseconds(cell.shape.beliefs_late_by));
+    object.set("beliefs_late_ms", AK::to_milliseconds(cell.shape.extra_update_delay));
     object.set("seed", cell.shape.seed);
     object.set("asked", outcome.requests);
     object.set("in_time", outcome.in_time);
--- a/Libraries/LibOverloadModel/Experiment.h
+++ b/Libraries/LibOverloadModel/Experiment.h
@@ -47,7 +47,7 @@
     std::vector<Pattern> patterns;
     std::vector<u32> hosts;
     std::vector<double> loads;
-    Duration beliefs_late_by { 0 };
+    Duration extra_update_delay { 0 };
     u32 seeds { 1 };
 
     /// Fails on keys and values that are not known, naming file, line and remedy.
--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -33,7 +33,7 @@
         Policy policy { Policy::Admission };
         u32 hosts { 62 };
         /// Beside what a fleet of that size takes to hear.
-        Duration beliefs_late_by { 0 };
+        Duration extra_update_delay { 0 };
         u32 seed { 1 };
     };
     struct Outcome {
@@ -187,7 +187,7 @@
         auto const far = i64(this->shape.hosts) * (domain_count - 1) / domain_count;
         return near_delay + std::max<i64>(0, far - 12) * Duration(1ms);
     }
-    [[nodiscard]] Duration far_delay() const { return this->known_far_delay() + this->shape.beliefs_late_by; }
+    [[nodiscard]] Duration far_delay() const { return this->known_far_delay() + this->shape.extra_update_delay; }
     /// Of a domain's hosts in other domains, by their own pace.
     [[nodiscard]] double unseen_placements() const
     {
--- a/Tests/LibOverloadModel/TestExperiment.cpp
+++ b/Tests/LibOverloadModel/TestExperiment.cpp
@@ -28,7 +28,7 @@
         CHECK(cells.size() == 8);
         CHECK(cells.back().shape.policy == ModelPool::Policy::TakeAll);
         CHECK(cells.back().shape.seed == 2);
-        CHECK(cells.back().shape.beliefs_late_by == 3s);
+        CHECK(cells.back().shape.extra_update_delay == 3s);
         CHECK(cells.back().load == 1.3);
     }
     GIVEN("keys and values that are not known")
