--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -22,7 +22,7 @@
 static constexpr std::array known_policies { std::pair { "take-all", Policy::TakeAll },
     std::pair { "admission", Policy::Admission } };
 static constexpr std::array known_patterns { std::pair { "steady", Pattern::Steady },
-    std::pair { "after-burst", Pattern::AfterBurst }, std::pair { "engines-leave", Pattern::EnginesLeave } };
+    std::pair { "after-burst", Pattern::AfterBurst }, std::pair { "engines-leave", Pattern::EnginesReplaced } };
 
 static constexpr i64 most_hosts = 10'000;
 static constexpr double largest_load = 10;
@@ -152,7 +152,7 @@
         return { cell, play_steady(pool, cell.load) };
     case Pattern::AfterBurst:
         return { cell, play_after_burst(pool, cell.load) };
-    case Pattern::EnginesLeave:
+    case Pattern::EnginesReplaced:
         return { cell, play_engines_leave(pool, cell.load) };
     }
     VERIFY(false);
--- a/Libraries/LibOverloadModel/Experiment.h
+++ b/Libraries/LibOverloadModel/Experiment.h
@@ -25,7 +25,7 @@
     /// Seven seconds of it, in the middle of a load of 0.7; only who asks from two seconds after them on is counted.
     AfterBurst,
     /// A sixth of the engines ends four times, 3.3 s apart, and empty ones come.
-    EnginesLeave,
+    EnginesReplaced,
 };
 
 /// One pattern with one way of deciding, one size and one seed.
