--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -25,7 +25,7 @@
     std::pair { "after-burst", Pattern::AfterBurst }, std::pair { "engines-leave", Pattern::EnginesReplaced } };
 
 static constexpr i64 max_hosts = 10'000;
-static constexpr double largest_load = 10;
+static constexpr double max_load = 10;
 static constexpr i64 most_seeds = 1000;
 
 template<typename Names, typename Value>
@@ -81,7 +81,7 @@
     experiment.policies = read_names(reader, "ways", known_policies);
     experiment.patterns = read_names(reader, "patterns", known_patterns);
     experiment.hosts = read_numbers<u32>(reader, "hosts", 1, max_hosts);
-    experiment.loads = read_numbers<double>(reader, "loads", 0.01, largest_load);
+    experiment.loads = read_numbers<double>(reader, "loads", 0.01, max_load);
     experiment.extra_update_delay = reader.duration_or("beliefs-late-by", 0s);
     experiment.seeds = static_cast<u32>(reader.whole_number_or("seeds", 1, 1, most_seeds));
     for (auto const& [key, is_empty] :
