--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -26,7 +26,7 @@
 
 static constexpr i64 max_hosts = 10'000;
 static constexpr double max_load = 10;
-static constexpr i64 most_seeds = 1000;
+static constexpr i64 max_seeds = 1000;
 
 template<typename Names, typename Value>
 static std::string name_of(Names const& names, Value value)
@@ -83,7 +83,7 @@
     experiment.hosts = read_numbers<u32>(reader, "hosts", 1, max_hosts);
     experiment.loads = read_numbers<double>(reader, "loads", 0.01, max_load);
     experiment.extra_update_delay = reader.duration_or("beliefs-late-by", 0s);
-    experiment.seeds = static_cast<u32>(reader.whole_number_or("seeds", 1, 1, most_seeds));
+    experiment.seeds = static_cast<u32>(reader.whole_number_or("seeds", 1, 1, max_seeds));
     for (auto const& [key, is_empty] :
         { std::pair { "ways", experiment.policies.empty() }, std::pair { "patterns", experiment.patterns.empty() },
             std::pair { "hosts", experiment.hosts.empty() }, std::pair { "loads", experiment.loads.empty() } }) {
