--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -110,7 +110,7 @@
 
 static constexpr Duration warm_up = 10s;
 
-static ModelPool::Outcome play_steady(ModelPool& pool, double load)
+static ModelPool::Outcome run_steady(ModelPool& pool, double load)
 {
     pool.run(std::min(load, 0.8), warm_up);
     auto const outcome = pool.run(load, 20s);
@@ -149,7 +149,7 @@
     ModelPool pool(cell.shape);
     switch (cell.pattern) {
     case Pattern::Steady:
-        return { cell, play_steady(pool, cell.load) };
+        return { cell, run_steady(pool, cell.load) };
     case Pattern::AfterBurst:
         return { cell, play_after_burst(pool, cell.load) };
     case Pattern::EnginesReplaced:
