--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -118,7 +118,7 @@
     return *outcome;
 }
 
-static ModelPool::Outcome play_after_burst(ModelPool& pool, double load)
+static ModelPool::Outcome run_after_burst(ModelPool& pool, double load)
 {
     constexpr double ordinary_load = 0.7;
     pool.run(ordinary_load, warm_up);
@@ -151,7 +151,7 @@
     case Pattern::Steady:
         return { cell, run_steady(pool, cell.load) };
     case Pattern::AfterBurst:
-        return { cell, play_after_burst(pool, cell.load) };
+        return { cell, run_after_burst(pool, cell.load) };
     case Pattern::EnginesReplaced:
         return { cell, play_engines_leave(pool, cell.load) };
     }
