--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -129,7 +129,7 @@
     return *outcome;
 }
 
-static ModelPool::Outcome play_engines_leave(ModelPool& pool, double load)
+static ModelPool::Outcome run_engines_replaced(ModelPool& pool, double load)
 {
     pool.run(std::min(load, 0.8), warm_up);
     std::vector<std::shared_ptr<ModelPool::Outcome const>> outcomes;
@@ -153,7 +153,7 @@
     case Pattern::AfterBurst:
         return { cell, run_after_burst(pool, cell.load) };
     case Pattern::EnginesReplaced:
-        return { cell, play_engines_leave(pool, cell.load) };
+        return { cell, run_engines_replaced(pool, cell.load) };
     }
     VERIFY(false);
 }
