--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -211,7 +211,7 @@
 }
 
 /// Cells of the same line stand one behind the other.
-static std::vector<Line> sum_up_seeds(std::vector<CellResult> const& results)
+static std::vector<Line> sum_over_seeds(std::vector<CellResult> const& results)
 {
     std::vector<Line> lines;
     for (auto const& [cell, outcome] : results) {
@@ -226,7 +226,7 @@
 {
     std::ostringstream out;
     out << "| pattern | hosts | way | load | in time | late | refused |\n|---|---|---|---|---|---|---|\n";
-    for (auto const& line : sum_up_seeds(results)) {
+    for (auto const& line : sum_over_seeds(results)) {
         auto const& outcome = line.outcome;
         out << "| " << to_string(line.cell.pattern) << " | " << line.cell.shape.hosts << " | "
             << to_string(line.cell.shape.policy) << " | " << line.cell.load << " | " << std::fixed
@@ -241,7 +241,7 @@
 {
     std::ostringstream out;
     Line const* before = nullptr;
-    auto const lines = sum_up_seeds(results);
+    auto const lines = sum_over_seeds(results);
     for (auto const& line : lines) {
         if (!before || !before->is_of_block(line.cell)) {
             out << (before ? "\n\n" : "") << '"' << to_string(line.cell.pattern) << ", " << line.cell.shape.hosts
