--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -73,7 +73,7 @@
             server.address = Address("127.0.0.1:1000");
             server.failure_domain = domain_name(i % domain_count);
             server.slots = 24;
-            for (auto& table : this->beliefs)
+            for (auto& table : this->backend_tables)
                 table.update(server, this->now);
         }
     }
@@ -99,7 +99,7 @@
         for (u32 i = 0; i < engine_count; i += each) {
             this->engines[i] = {};
             ++this->engines[i].life;
-            for (auto& table : this->beliefs)
+            for (auto& table : this->backend_tables)
                 table.find(EngineId("e" + std::to_string(i)))->engine = {};
         }
     }
@@ -224,7 +224,7 @@
         auto const name = domain_name(domain);
         Serving::ChoiceInputs const inputs { name, {}, this->now, 0.3, {}, name, this->unseen_placements() };
         Serving::GenerationNeed const need { TokenCount(generation.prompt), TokenCount(generation.guess) };
-        auto const& candidates = this->beliefs[domain].of_service(ServiceName("models"));
+        auto const& candidates = this->backend_tables[domain].of_service(ServiceName("models"));
         if (this->shape.policy == Policy::Admission)
             return Serving::admit(
                 candidates, {}, { need, generation.goal }, TokenCount(memory), inputs, this->choice_random);
@@ -349,7 +349,7 @@
         for (u32 i = 0; i < domain_count; ++i) {
             auto const delay = i == domain ? near_delay : this->far_delay();
             this->schedule_for(number, this->now + delay, [this, i, number, change] {
-                change(this->beliefs[i].find(EngineId("e" + std::to_string(number)))->engine);
+                change(this->backend_tables[i].find(EngineId("e" + std::to_string(number)))->engine);
             });
         }
     }
@@ -392,7 +392,7 @@
     std::mt19937 random;
     boost::random::mt19937 choice_random;
     std::vector<Engine> engines;
-    std::array<Serving::BackendTable, domain_count> beliefs;
+    std::array<Serving::BackendTable, domain_count> backend_tables;
     std::priority_queue<Event> events;
     u64 scheduled { 0 };
     double requests_per_second { 0 };
