--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -105,7 +105,7 @@
     }
 
 private:
-    static constexpr double read_tokens_per_second = 9000;
+    static constexpr double prefill_tokens_per_second = 9000;
     static constexpr double made_tokens_per_second = 80;
     static constexpr i64 tokens_per_event = 4;
     static constexpr double share_of_long_ones = 1.0 / 3;
@@ -152,7 +152,7 @@
         constexpr double short_prompt = 2200;
         constexpr double short_output = 10;
         auto held = [](double prompt, double output) {
-            auto const reading = prompt / read_tokens_per_second;
+            auto const reading = prompt / prefill_tokens_per_second;
             return (prompt + output) * (reading + output / made_tokens_per_second);
         };
         auto const mean = share_of_long_ones * held(long_prompt, long_output)
@@ -259,7 +259,7 @@
         engine.waiting.pop_front();
         engine.used += next.held();
         engine.is_reading = true;
-        auto const reading = AK::from_seconds(double(next.held()) / read_tokens_per_second);
+        auto const reading = AK::from_seconds(double(next.held()) / prefill_tokens_per_second);
         this->schedule_for(number, this->now + reading, [this, number, next] { this->begin(number, next); });
     }
 
