--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -106,7 +106,7 @@
 
 private:
     static constexpr double prefill_tokens_per_second = 9000;
-    static constexpr double made_tokens_per_second = 80;
+    static constexpr double decode_tokens_per_second = 80;
     static constexpr i64 tokens_per_event = 4;
     static constexpr double share_of_long_ones = 1.0 / 3;
     static constexpr Duration near_delay = 3ms;
@@ -153,7 +153,7 @@
         constexpr double short_output = 10;
         auto held = [](double prompt, double output) {
             auto const reading = prompt / prefill_tokens_per_second;
-            return (prompt + output) * (reading + output / made_tokens_per_second);
+            return (prompt + output) * (reading + output / decode_tokens_per_second);
         };
         auto const mean = share_of_long_ones * held(long_prompt, long_output)
             + (1 - share_of_long_ones) * held(short_prompt, short_output);
@@ -302,7 +302,7 @@
         engine.used += step;
         this->tell(
             number, running->second.what.from_domain, [step](Serving::EngineLoad& load) { load.peer_tokens += step; });
-        this->schedule_for(number, this->now + AK::from_seconds(double(step) / made_tokens_per_second),
+        this->schedule_for(number, this->now + AK::from_seconds(double(step) / decode_tokens_per_second),
             [this, number, id] { this->make_events(number, id); });
     }
 
