--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -108,7 +108,7 @@
     static constexpr double prefill_tokens_per_second = 9000;
     static constexpr double decode_tokens_per_second = 80;
     static constexpr i64 tokens_per_event = 4;
-    static constexpr double share_of_long_ones = 1.0 / 3;
+    static constexpr double long_request_share = 1.0 / 3;
     static constexpr Duration near_delay = 3ms;
 
     struct Generation {
@@ -155,8 +155,8 @@
             auto const reading = prompt / prefill_tokens_per_second;
             return (prompt + output) * (reading + output / decode_tokens_per_second);
         };
-        auto const mean = share_of_long_ones * held(long_prompt, long_output)
-            + (1 - share_of_long_ones) * held(short_prompt, short_output);
+        auto const mean = long_request_share * held(long_prompt, long_output)
+            + (1 - long_request_share) * held(short_prompt, short_output);
         return engine_count * double(memory) / mean;
     }
 
@@ -164,7 +164,7 @@
     {
         std::uniform_real_distribution<double> uniform(0, 1);
         Generation made;
-        if (uniform(this->random) < share_of_long_ones) {
+        if (uniform(this->random) < long_request_share) {
             // Wide: half have under 300 tokens, and some have 1,756.
             std::lognormal_distribution<double> output(std::log(400.0), 1.34);
             std::lognormal_distribution<double> error(0, 0.8);
