--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -109,7 +109,7 @@
     static constexpr double decode_tokens_per_second = 80;
     static constexpr i64 tokens_per_event = 4;
     static constexpr double long_request_share = 1.0 / 3;
-    static constexpr Duration near_delay = 3ms;
+    static constexpr Duration local_delay = 3ms;
 
     struct Generation {
         i64 prompt { 0 };
@@ -185,7 +185,7 @@
     {
         // As hosts that speak for their domains tell: a millisecond more for each far host beyond twelve.
         auto const far = i64(this->shape.hosts) * (domain_count - 1) / domain_count;
-        return near_delay + std::max<i64>(0, far - 12) * Duration(1ms);
+        return local_delay + std::max<i64>(0, far - 12) * Duration(1ms);
     }
     [[nodiscard]] Duration far_delay() const { return this->known_far_delay() + this->shape.extra_update_delay; }
     /// Of a domain's hosts in other domains, by their own pace.
@@ -347,7 +347,7 @@
     void tell(u32 number, u32 domain, std::function<void(Serving::EngineLoad&)> change)
     {
         for (u32 i = 0; i < domain_count; ++i) {
-            auto const delay = i == domain ? near_delay : this->far_delay();
+            auto const delay = i == domain ? local_delay : this->far_delay();
             this->schedule_for(number, this->now + delay, [this, i, number, change] {
                 change(this->backend_tables[i].find(EngineId("e" + std::to_string(number)))->engine);
             });
