--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -181,17 +181,17 @@
     }
 
     /// As hosts know it, which is all of it but what the network adds.
-    [[nodiscard]] Duration known_far_delay() const
+    [[nodiscard]] Duration expected_remote_delay() const
     {
         // As hosts that speak for their domains tell: a millisecond more for each far host beyond twelve.
         auto const far = i64(this->shape.hosts) * (domain_count - 1) / domain_count;
         return local_delay + std::max<i64>(0, far - 12) * Duration(1ms);
     }
-    [[nodiscard]] Duration far_delay() const { return this->known_far_delay() + this->shape.extra_update_delay; }
+    [[nodiscard]] Duration far_delay() const { return this->expected_remote_delay() + this->shape.extra_update_delay; }
     /// Of a domain's hosts in other domains, by their own pace.
     [[nodiscard]] double unseen_placements() const
     {
-        return this->requests_per_second / domain_count * AK::to_seconds(this->known_far_delay());
+        return this->requests_per_second / domain_count * AK::to_seconds(this->expected_remote_delay());
     }
 
     void first_try(std::shared_ptr<Outcome> outcome)
