--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -187,7 +187,10 @@
         auto const far = i64(this->shape.hosts) * (domain_count - 1) / domain_count;
         return local_delay + std::max<i64>(0, far - 12) * Duration(1ms);
     }
-    [[nodiscard]] Duration far_delay() const { return this->expected_remote_delay() + this->shape.extra_update_delay; }
+    [[nodiscard]] Duration remote_delay() const
+    {
+        return this->expected_remote_delay() + this->shape.extra_update_delay;
+    }
     /// Of a domain's hosts in other domains, by their own pace.
     [[nodiscard]] double unseen_placements() const
     {
@@ -347,7 +350,7 @@
     void tell(u32 number, u32 domain, std::function<void(Serving::EngineLoad&)> change)
     {
         for (u32 i = 0; i < domain_count; ++i) {
-            auto const delay = i == domain ? local_delay : this->far_delay();
+            auto const delay = i == domain ? local_delay : this->remote_delay();
             this->schedule_for(number, this->now + delay, [this, i, number, change] {
                 change(this->backend_tables[i].find(EngineId("e" + std::to_string(number)))->engine);
             });
