--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -114,7 +114,7 @@
     struct Generation {
         i64 prompt { 0 };
         i64 output { 0 };
-        i64 guess { 0 };
+        i64 estimated_output { 0 };
         Duration goal { 1s };
         Instant first_asked_at {};
         bool is_second_try { false };
@@ -170,11 +170,12 @@
             std::lognormal_distribution<double> error(0, 0.8);
             made.prompt = static_cast<i64>(3000 * (0.6 + 0.8 * uniform(this->random)));
             made.output = std::clamp<i64>(static_cast<i64>(output(this->random)), 4, 1756);
-            made.guess = std::clamp<i64>(static_cast<i64>(double(made.output) * error(this->random)), 4, 1756);
+            made.estimated_output
+                = std::clamp<i64>(static_cast<i64>(double(made.output) * error(this->random)), 4, 1756);
             made.goal = 1800ms;
         } else {
             made.prompt = static_cast<i64>(2200 * (0.4 + 1.2 * uniform(this->random)));
-            made.output = made.guess = 10;
+            made.output = made.estimated_output = 10;
             made.goal = 1500ms;
         }
         return made;
@@ -226,7 +227,7 @@
     {
         auto const name = domain_name(domain);
         Serving::ChoiceInputs const inputs { name, {}, this->now, 0.3, {}, name, this->unseen_placements() };
-        Serving::GenerationNeed const need { TokenCount(generation.prompt), TokenCount(generation.guess) };
+        Serving::GenerationNeed const need { TokenCount(generation.prompt), TokenCount(generation.estimated_output) };
         auto const& candidates = this->backend_tables[domain].of_service(ServiceName("models"));
         if (this->shape.policy == Policy::Admission)
             return Serving::admit(
