--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -116,7 +116,7 @@
         i64 output { 0 };
         i64 estimated_output { 0 };
         Duration goal { 1s };
-        Instant first_asked_at {};
+        Instant arrived_at {};
         bool is_second_try { false };
         std::shared_ptr<Outcome> outcome;
     };
@@ -201,7 +201,7 @@
     void first_try(std::shared_ptr<Outcome> outcome)
     {
         auto generation = this->draw_generation();
-        generation.first_asked_at = this->now;
+        generation.arrived_at = this->now;
         generation.outcome = std::move(outcome);
         ++generation.outcome->requests;
         this->ask(std::move(generation));
@@ -283,7 +283,7 @@
     bool first_event(u32 number, Waiting const& what)
     {
         auto const& generation = what.generation;
-        bool const is_late = this->now - generation.first_asked_at > generation.goal;
+        bool const is_late = this->now - generation.arrived_at > generation.goal;
         ++(is_late ? generation.outcome->late : generation.outcome->in_time);
         this->tell(number, what.from_domain,
             [prompt = generation.prompt](Serving::EngineLoad& load) { load.peer_unread_tokens -= prompt; });
