--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -117,7 +117,7 @@
         i64 estimated_output { 0 };
         Duration goal { 1s };
         Instant arrived_at {};
-        bool is_second_try { false };
+        bool is_retry { false };
         std::shared_ptr<Outcome> outcome;
     };
     struct Waiting {
@@ -215,11 +215,11 @@
             auto const number = std::stoul(decision.engine->server.id.value().substr(1));
             return this->place(static_cast<u32>(number), { std::move(generation), domain });
         }
-        if (generation.is_second_try) {
+        if (generation.is_retry) {
             ++generation.outcome->refused;
             return;
         }
-        generation.is_second_try = true;
+        generation.is_retry = true;
         this->schedule(this->now + decision.retry_after, [this, generation] { this->ask(generation); });
     }
 
