--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -88,7 +88,7 @@
         std::exponential_distribution<double> gap(this->requests_per_second);
         for (auto at = this->now + AK::from_seconds(gap(this->random)); at < end;
              at += AK::from_seconds(gap(this->random)))
-            this->schedule(at, [this, outcome] { this->first_try(outcome); });
+            this->schedule(at, [this, outcome] { this->submit_new(outcome); });
         this->play_until(end);
         return outcome;
     }
@@ -198,7 +198,7 @@
         return this->requests_per_second / domain_count * AK::to_seconds(this->expected_remote_delay());
     }
 
-    void first_try(std::shared_ptr<Outcome> outcome)
+    void submit_new(std::shared_ptr<Outcome> outcome)
     {
         auto generation = this->draw_generation();
         generation.arrived_at = this->now;
