--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -204,10 +204,10 @@
         generation.arrived_at = this->now;
         generation.outcome = std::move(outcome);
         ++generation.outcome->requests;
-        this->ask(std::move(generation));
+        this->submit(std::move(generation));
     }
 
-    void ask(Generation generation)
+    void submit(Generation generation)
     {
         auto const domain = std::uniform_int_distribution<u32>(0, domain_count - 1)(this->random);
         auto const decision = this->decide(domain, generation);
@@ -220,7 +220,7 @@
             return;
         }
         generation.is_retry = true;
-        this->schedule(this->now + decision.retry_after, [this, generation] { this->ask(generation); });
+        this->schedule(this->now + decision.retry_after, [this, generation] { this->submit(generation); });
     }
 
     Serving::Admission decide(u32 domain, Generation const& generation)
