--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -242,7 +242,7 @@
     {
         auto const domain = waiting.from_domain;
         auto const prompt = waiting.generation.prompt;
-        this->tell(number, domain, [prompt](Serving::EngineLoad& load) {
+        this->broadcast_change(number, domain, [prompt](Serving::EngineLoad& load) {
             ++load.peer_generations;
             load.peer_tokens += prompt;
             load.peer_unread_tokens += prompt;
@@ -285,7 +285,7 @@
         auto const& generation = what.generation;
         bool const is_late = this->now - generation.arrived_at > generation.goal;
         ++(is_late ? generation.outcome->late : generation.outcome->in_time);
-        this->tell(number, what.from_domain,
+        this->broadcast_change(number, what.from_domain,
             [prompt = generation.prompt](Serving::EngineLoad& load) { load.peer_unread_tokens -= prompt; });
         return !is_late;
     }
@@ -304,7 +304,7 @@
             return;
         running->second.made += step;
         engine.used += step;
-        this->tell(
+        this->broadcast_change(
             number, running->second.what.from_domain, [step](Serving::EngineLoad& load) { load.peer_tokens += step; });
         this->schedule_for(number, this->now + AK::from_seconds(double(step) / decode_tokens_per_second),
             [this, number, id] { this->make_events(number, id); });
@@ -340,7 +340,7 @@
         auto& engine = this->engines[number];
         auto const ended = engine.running.extract(id).mapped();
         engine.used -= ended.held();
-        this->tell(number, ended.what.from_domain, [held = ended.held()](Serving::EngineLoad& load) {
+        this->broadcast_change(number, ended.what.from_domain, [held = ended.held()](Serving::EngineLoad& load) {
             --load.peer_generations;
             load.peer_tokens -= held;
         });
@@ -348,7 +348,7 @@
     }
 
     /// What hosts of `domain` have done at an engine, as all come to believe it.
-    void tell(u32 number, u32 domain, std::function<void(Serving::EngineLoad&)> change)
+    void broadcast_change(u32 number, u32 domain, std::function<void(Serving::EngineLoad&)> change)
     {
         for (u32 i = 0; i < domain_count; ++i) {
             auto const delay = i == domain ? local_delay : this->remote_delay();
