--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -300,7 +300,7 @@
         if (left <= 0)
             return this->ended(number, id);
         auto const step = std::min(left, 20 * tokens_per_event);
-        if (!this->make_room(number, id, step))
+        if (!this->preempt_until_free(number, id, step))
             return;
         running->second.made += step;
         engine.used += step;
@@ -311,7 +311,7 @@
     }
 
     /// Lets the newest ones leave until so many tokens more fit in; whether the one that needs them is still there.
-    bool make_room(u32 number, u64 id, i64 tokens)
+    bool preempt_until_free(u32 number, u64 id, i64 tokens)
     {
         auto& engine = this->engines[number];
         while (engine.used + tokens > memory) {
