--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -318,7 +318,7 @@
             auto const newest = std::prev(engine.running.end());
             bool const is_itself = newest->first == id;
             engine.used -= newest->second.held();
-            this->note_pause(newest->second);
+            this->record_pause(newest->second);
             engine.waiting.push_front(newest->second);
             engine.running.erase(newest);
             if (is_itself)
@@ -327,7 +327,7 @@
         return true;
     }
 
-    static void note_pause(Running& paused)
+    static void record_pause(Running& paused)
     {
         if (!std::exchange(paused.is_in_time, false))
             return;
