--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -275,7 +275,7 @@
             read.is_in_time = this->first_event(number, read.what);
         auto const id = engine.begun++;
         engine.running.emplace(id, read);
-        this->make_events(number, id);
+        this->emit_events(number, id);
         this->advance(number);
     }
 
@@ -290,7 +290,7 @@
         return !is_late;
     }
 
-    void make_events(u32 number, u64 id)
+    void emit_events(u32 number, u64 id)
     {
         auto& engine = this->engines[number];
         auto const running = engine.running.find(id);
@@ -307,7 +307,7 @@
         this->broadcast_change(
             number, running->second.what.from_domain, [step](Serving::EngineLoad& load) { load.peer_tokens += step; });
         this->schedule_for(number, this->now + AK::from_seconds(double(step) / decode_tokens_per_second),
-            [this, number, id] { this->make_events(number, id); });
+            [this, number, id] { this->emit_events(number, id); });
     }
 
     /// Lets the newest ones leave until so many tokens more fit in; whether the one that needs them is still there.
