--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -134,7 +134,7 @@
     };
     struct Engine {
         i64 used { 0 };
-        bool is_reading { false };
+        bool is_prefilling { false };
         std::deque<Running> waiting;
         /// By the order in which they began.
         std::map<u64, Running> running;
@@ -255,14 +255,14 @@
     void advance(u32 number)
     {
         auto& engine = this->engines[number];
-        if (engine.is_reading || engine.waiting.empty())
+        if (engine.is_prefilling || engine.waiting.empty())
             return;
         auto const next = engine.waiting.front();
         if (engine.used + next.held() > memory)
             return;
         engine.waiting.pop_front();
         engine.used += next.held();
-        engine.is_reading = true;
+        engine.is_prefilling = true;
         auto const reading = AK::from_seconds(double(next.held()) / prefill_tokens_per_second);
         this->schedule_for(number, this->now + reading, [this, number, next] { this->begin(number, next); });
     }
@@ -270,7 +270,7 @@
     void begin(u32 number, Running read)
     {
         auto& engine = this->engines[number];
-        engine.is_reading = false;
+        engine.is_prefilling = false;
         if (!std::exchange(read.has_begun, true))
             read.is_in_time = this->first_event(number, read.what);
         auto const id = engine.begun++;
