--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -98,7 +98,7 @@
     {
         for (u32 i = 0; i < engine_count; i += each) {
             this->engines[i] = {};
-            ++this->engines[i].life;
+            ++this->engines[i].incarnation;
             for (auto& table : this->backend_tables)
                 table.find(EngineId("e" + std::to_string(i)))->engine = {};
         }
@@ -139,7 +139,7 @@
         /// By the order in which they began.
         std::map<u64, Running> running;
         u64 begun { 0 };
-        u32 life { 0 };
+        u32 incarnation { 0 };
     };
 
     static FailureDomainId domain_name(u32 number) { return FailureDomainId("hall-" + std::to_string(number)); }
@@ -365,8 +365,8 @@
     /// Not done once the engine has been replaced.
     void schedule_for(u32 number, Instant at, std::function<void()> action)
     {
-        this->schedule(at, [this, number, life = this->engines[number].life, action = std::move(action)] {
-            if (this->engines[number].life == life)
+        this->schedule(at, [this, number, incarnation = this->engines[number].incarnation, action = std::move(action)] {
+            if (this->engines[number].incarnation == incarnation)
                 action();
         });
     }
