--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -89,7 +89,7 @@
         for (auto at = this->now + AK::from_seconds(gap(this->random)); at < end;
              at += AK::from_seconds(gap(this->random)))
             this->schedule(at, [this, outcome] { this->submit_new(outcome); });
-        this->play_until(end);
+        this->run_until(end);
         return outcome;
     }
 
@@ -371,7 +371,7 @@
         });
     }
 
-    void play_until(Instant end)
+    void run_until(Instant end)
     {
         while (!this->events.empty() && this->events.top().at <= end) {
             auto event = this->events.top();
