--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -296,13 +296,13 @@
         auto const running = engine.running.find(id);
         if (running == engine.running.end())
             return;
-        auto const left = running->second.what.generation.output - running->second.made;
+        auto const left = running->second.what.generation.output - running->second.produced;
         if (left <= 0)
             return this->ended(number, id);
         auto const step = std::min(left, 20 * tokens_per_event);
         if (!this->preempt_until_free(number, id, step))
             return;
-        running->second.made += step;
+        running->second.produced += step;
         engine.used += step;
         this->broadcast_change(
             number, running->second.what.from_domain, [step](Serving::EngineLoad& load) { load.peer_tokens += step; });
