--- a/Libraries/LibPolicyBench/Cells.cpp
+++ b/Libraries/LibPolicyBench/Cells.cpp
@@ -100,9 +100,11 @@
             return std::make_unique<PoolDispatcher<PromptOnlyReservation>>(
                 first_come_constants(), [](PolicyConstants const&) { return PromptOnlyReservation(); });
         if (policy == "least_reported")
-            return std::make_unique<LoneChoice>(LoneChoice::Rule::LeastReported, routers_choosing_alone, seed);
+            return std::make_unique<IndependentRouters>(
+                IndependentRouters::Rule::LeastReported, routers_choosing_alone, seed);
         if (policy == "two_choices")
-            return std::make_unique<LoneChoice>(LoneChoice::Rule::TwoChoices, routers_choosing_alone, seed);
+            return std::make_unique<IndependentRouters>(
+                IndependentRouters::Rule::TwoChoices, routers_choosing_alone, seed);
         if (policy == "divided_2")
             return make_divided(2);
         if (policy == "divided_4")
--- a/Libraries/LibPolicyBench/Dispatcher.h
+++ b/Libraries/LibPolicyBench/Dispatcher.h
@@ -128,7 +128,7 @@
 };
 
 /// Baseline: several routers, each choosing alone and at once from load reports; the engines queue.
-class LoneChoice final : public Dispatcher {
+class IndependentRouters final : public Dispatcher {
 public:
     enum class Rule : u8 {
         LeastReported,
@@ -136,7 +136,7 @@
         TwoChoices,
     };
 
-    LoneChoice(Rule rule, u32 router_count, u32 seed)
+    IndependentRouters(Rule rule, u32 router_count, u32 seed)
         : rule(rule)
         , random(seed)
         , placed_since_report(router_count)
