--- a/Libraries/LibPolicyBench/Cells.cpp
+++ b/Libraries/LibPolicyBench/Cells.cpp
@@ -43,7 +43,7 @@
     std::vector<std::unique_ptr<Dispatcher>> owners;
     for (size_t i = 0; i < owner_count; ++i)
         owners.push_back(make_forecast({}));
-    return std::make_unique<DividedOwners>(std::move(owners));
+    return std::make_unique<SplitBrainOwners>(std::move(owners));
 }
 
 std::vector<std::string> const& policy_names()
--- a/Libraries/LibPolicyBench/Dispatcher.h
+++ b/Libraries/LibPolicyBench/Dispatcher.h
@@ -195,9 +195,9 @@
 
 /// Several schedulers that each believe to own the pool: what a disagreement about membership amounts to. Each sees
 /// only its own requests, and the load reports.
-class DividedOwners final : public Dispatcher {
+class SplitBrainOwners final : public Dispatcher {
 public:
-    explicit DividedOwners(std::vector<std::unique_ptr<Dispatcher>> owners)
+    explicit SplitBrainOwners(std::vector<std::unique_ptr<Dispatcher>> owners)
         : owners(std::move(owners))
     {
     }
