--- a/Libraries/LibPolicyBench/Cells.cpp
+++ b/Libraries/LibPolicyBench/Cells.cpp
@@ -18,7 +18,7 @@
 using Scheduling::PolicyConstants;
 using Scheduling::PromptOnlyReservation;
 
-static constexpr u32 routers_choosing_alone = 4;
+static constexpr u32 independent_router_count = 4;
 
 static PolicyConstants first_come_constants()
 {
@@ -101,10 +101,10 @@
                 first_come_constants(), [](PolicyConstants const&) { return PromptOnlyReservation(); });
         if (policy == "least_reported")
             return std::make_unique<IndependentRouters>(
-                IndependentRouters::Rule::LeastReported, routers_choosing_alone, seed);
+                IndependentRouters::Rule::LeastReported, independent_router_count, seed);
         if (policy == "two_choices")
             return std::make_unique<IndependentRouters>(
-                IndependentRouters::Rule::TwoChoices, routers_choosing_alone, seed);
+                IndependentRouters::Rule::TwoChoices, independent_router_count, seed);
         if (policy == "divided_2")
             return make_divided(2);
         if (policy == "divided_4")
