--- a/Libraries/LibPolicyBench/Measures.cpp
+++ b/Libraries/LibPolicyBench/Measures.cpp
@@ -13,18 +13,18 @@
 static constexpr double smallest_seconds = 1e-4;
 static constexpr double largest_seconds = 1e3;
 
-FineHistogram::FineHistogram()
+DurationHistogram::DurationHistogram()
     : histogram(boost::histogram::make_histogram(Axis(bin_count, smallest_seconds, largest_seconds)))
 {
 }
 
-void FineHistogram::record(Duration duration)
+void DurationHistogram::record(Duration duration)
 {
     this->histogram(std::max(AK::to_seconds(duration), smallest_seconds));
     ++this->total;
 }
 
-double FineHistogram::quantile(double quantile) const
+double DurationHistogram::quantile(double quantile) const
 {
     auto wanted = quantile * static_cast<double>(this->total);
     double cumulative = 0;
--- a/Libraries/LibPolicyBench/Measures.h
+++ b/Libraries/LibPolicyBench/Measures.h
@@ -15,9 +15,9 @@
 namespace PolicyBench {
 
 /// Durations from 0.1 ms to 1,000 s in steps of under one per cent, for ratios between policies.
-class FineHistogram {
+class DurationHistogram {
 public:
-    FineHistogram();
+    DurationHistogram();
     void record(Duration);
     [[nodiscard]] double quantile(double quantile) const;
     [[nodiscard]] u64 count() const { return this->total; }
@@ -30,9 +30,9 @@
 
 /// What one run of one policy on one workload gave, over the time after warm-up.
 struct Measures {
-    FineHistogram stall;
-    FineHistogram gap;
-    std::map<std::string, FineHistogram> stall_of_organisation;
+    DurationHistogram stall;
+    DurationHistogram gap;
+    std::map<std::string, DurationHistogram> stall_of_organisation;
     std::map<std::string, double> tokens_of_organisation;
     std::map<std::string, u64> refusals_of_organisation;
     std::map<std::string, u64> arrivals_of_organisation;
