--- a/Libraries/LibPolicyBench/Measures.cpp
+++ b/Libraries/LibPolicyBench/Measures.cpp
@@ -10,17 +10,17 @@
 namespace PolicyBench {
 
 static constexpr unsigned bin_count = 2000;
-static constexpr double smallest_seconds = 1e-4;
+static constexpr double min_seconds = 1e-4;
 static constexpr double largest_seconds = 1e3;
 
 DurationHistogram::DurationHistogram()
-    : histogram(boost::histogram::make_histogram(Axis(bin_count, smallest_seconds, largest_seconds)))
+    : histogram(boost::histogram::make_histogram(Axis(bin_count, min_seconds, largest_seconds)))
 {
 }
 
 void DurationHistogram::record(Duration duration)
 {
-    this->histogram(std::max(AK::to_seconds(duration), smallest_seconds));
+    this->histogram(std::max(AK::to_seconds(duration), min_seconds));
     ++this->total;
 }
 
