--- a/Libraries/LibPolicyBench/Measures.cpp
+++ b/Libraries/LibPolicyBench/Measures.cpp
@@ -11,10 +11,10 @@
 
 static constexpr unsigned bin_count = 2000;
 static constexpr double min_seconds = 1e-4;
-static constexpr double largest_seconds = 1e3;
+static constexpr double max_seconds = 1e3;
 
 DurationHistogram::DurationHistogram()
-    : histogram(boost::histogram::make_histogram(Axis(bin_count, min_seconds, largest_seconds)))
+    : histogram(boost::histogram::make_histogram(Axis(bin_count, min_seconds, max_seconds)))
 {
 }
 
