--- a/Libraries/LibPolicyBench/Simulation.cpp
+++ b/Libraries/LibPolicyBench/Simulation.cpp
@@ -171,7 +171,7 @@
     for (auto const& event : engine.step_events) {
         switch (event.kind) {
         case EngineModel::StepEventKind::Token:
-            this->take_token(event.key);
+            this->handle_token(event.key);
             break;
         case EngineModel::StepEventKind::Finished:
             this->take_end(event.key, event.offset);
@@ -195,7 +195,7 @@
     this->begin_step(index);
 }
 
-void Simulation::take_token(u64 key)
+void Simulation::handle_token(u64 key)
 {
     auto& progress = this->progress[key];
     auto const& request = *progress.request;
--- a/Libraries/LibPolicyBench/Simulation.h
+++ b/Libraries/LibPolicyBench/Simulation.h
@@ -76,7 +76,7 @@
     void refused(GenerationId const&);
     void begin_step(size_t engine);
     void end_step(size_t engine);
-    void take_token(u64 key);
+    void handle_token(u64 key);
     void take_end(u64 key, i64 produced);
     void report(size_t engine);
     void lose_engine(size_t engine);
