--- a/Libraries/LibPolicyBench/Simulation.cpp
+++ b/Libraries/LibPolicyBench/Simulation.cpp
@@ -174,7 +174,7 @@
             this->handle_token(event.key);
             break;
         case EngineModel::StepEventKind::Finished:
-            this->take_end(event.key, event.offset);
+            this->handle_end(event.key, event.offset);
             break;
         case EngineModel::StepEventKind::Preempted:
             if (this->is_measured())
@@ -218,7 +218,7 @@
         this->measures.tokens_of_organisation[traffic.organisation] += 1;
 }
 
-void Simulation::take_end(u64 key, i64 produced)
+void Simulation::handle_end(u64 key, i64 produced)
 {
     if (this->is_measured())
         ++this->measures.completions;
--- a/Libraries/LibPolicyBench/Simulation.h
+++ b/Libraries/LibPolicyBench/Simulation.h
@@ -77,7 +77,7 @@
     void begin_step(size_t engine);
     void end_step(size_t engine);
     void handle_token(u64 key);
-    void take_end(u64 key, i64 produced);
+    void handle_end(u64 key, i64 produced);
     void report(size_t engine);
     void lose_engine(size_t engine);
     [[nodiscard]] bool is_measured() const;
