--- a/Libraries/LibPolicyBench/Simulation.cpp
+++ b/Libraries/LibPolicyBench/Simulation.cpp
@@ -153,7 +153,7 @@
 void Simulation::begin_step(size_t index)
 {
     auto& engine = this->engines[index];
-    if (engine.is_stepping || engine.is_gone || engine.model.is_idle())
+    if (engine.is_stepping || engine.is_reclaimed || engine.model.is_idle())
         return;
     engine.is_stepping = true;
     engine.step_events.clear();
@@ -165,7 +165,7 @@
 {
     auto& engine = this->engines[index];
     engine.is_stepping = false;
-    if (engine.is_gone)
+    if (engine.is_reclaimed)
         return;
     boost::random::uniform_real_distribution<double> uniform(0, 1);
     for (auto const& event : engine.step_events) {
@@ -234,7 +234,7 @@
 void Simulation::report(size_t index)
 {
     auto& engine = this->engines[index];
-    if (engine.is_gone)
+    if (engine.is_reclaimed)
         return;
     auto load = engine.model.load();
     Scheduling::LoadReport report { static_cast<double>(load.used_tokens), load.running, load.waiting,
@@ -246,7 +246,7 @@
 
 void Simulation::lose_engine(size_t index)
 {
-    this->engines[index].is_gone = true;
+    this->engines[index].is_reclaimed = true;
     std::vector<u64> keys;
     for (auto const& [key, progress] : this->progress) {
         if (progress.engine == index && this->engines[index].model.produced(key))
--- a/Libraries/LibPolicyBench/Simulation.h
+++ b/Libraries/LibPolicyBench/Simulation.h
@@ -54,7 +54,7 @@
         EngineId id;
         EngineModel::Engine model;
         bool is_stepping { false };
-        bool is_gone { false };
+        bool is_reclaimed { false };
         std::vector<EngineModel::StepEvent> step_events {};
     };
 
