--- a/Libraries/LibPolicyBench/Simulation.cpp
+++ b/Libraries/LibPolicyBench/Simulation.cpp
@@ -79,9 +79,9 @@
         break;
     case EventKind::Reclaim:
         this->dispatcher->set_draining(this->engines[event.index].id);
-        this->schedule(this->now + *this->scenario.reclaim_notice, EventKind::EngineGone, event.index);
+        this->schedule(this->now + *this->scenario.reclaim_notice, EventKind::EngineReclaimed, event.index);
         break;
-    case EventKind::EngineGone:
+    case EventKind::EngineReclaimed:
         this->lose_engine(event.index);
         break;
     }
--- a/Libraries/LibPolicyBench/Simulation.h
+++ b/Libraries/LibPolicyBench/Simulation.h
@@ -35,7 +35,7 @@
         Report,
         Message,
         Reclaim,
-        EngineGone,
+        EngineReclaimed,
     };
 
     struct Event {
