--- a/Libraries/LibPolicyBench/Simulation.cpp
+++ b/Libraries/LibPolicyBench/Simulation.cpp
@@ -82,7 +82,7 @@
         this->schedule(this->now + *this->scenario.reclaim_notice, EventKind::EngineReclaimed, event.index);
         break;
     case EventKind::EngineReclaimed:
-        this->lose_engine(event.index);
+        this->reclaim_engine(event.index);
         break;
     }
 }
@@ -244,7 +244,7 @@
     this->schedule(this->now + this->scenario.report_period, EventKind::Report, index);
 }
 
-void Simulation::lose_engine(size_t index)
+void Simulation::reclaim_engine(size_t index)
 {
     this->engines[index].is_reclaimed = true;
     std::vector<u64> keys;
--- a/Libraries/LibPolicyBench/Simulation.h
+++ b/Libraries/LibPolicyBench/Simulation.h
@@ -79,7 +79,7 @@
     void handle_token(u64 key);
     void handle_end(u64 key, i64 produced);
     void report(size_t engine);
-    void lose_engine(size_t engine);
+    void reclaim_engine(size_t engine);
     [[nodiscard]] bool is_measured() const;
     [[nodiscard]] TrafficClass const& class_of(Request const& request) const
     {
