--- a/Libraries/LibPolicyBench/Simulation.cpp
+++ b/Libraries/LibPolicyBench/Simulation.cpp
@@ -30,7 +30,7 @@
         this->schedule(this->requests[i].arrival, EventKind::Arrival, i);
     this->schedule(this->now, EventKind::Tick);
     if (scenario.reclaim_notice)
-        this->schedule(Instant() + scenario.length / 2, EventKind::Reclaim, 0);
+        this->schedule(Instant() + scenario.length / 2, EventKind::ReclaimNotice, 0);
 }
 
 void Simulation::schedule(Instant at, EventKind kind, size_t index)
@@ -77,7 +77,7 @@
     case EventKind::Message:
         event.message();
         break;
-    case EventKind::Reclaim:
+    case EventKind::ReclaimNotice:
         this->dispatcher->set_draining(this->engines[event.index].id);
         this->schedule(this->now + *this->scenario.reclaim_notice, EventKind::EngineReclaimed, event.index);
         break;
