--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -127,10 +127,10 @@
     struct Running {
         Waiting what;
         /// Of its output.
-        i64 made { 0 };
+        i64 produced { 0 };
         bool has_begun { false };
         bool is_in_time { false };
-        [[nodiscard]] i64 held() const { return this->what.generation.prompt + this->made; }
+        [[nodiscard]] i64 held() const { return this->what.generation.prompt + this->produced; }
     };
     struct Engine {
         i64 used { 0 };
@@ -163,22 +163,22 @@
     Generation draw_generation()
     {
         std::uniform_real_distribution<double> uniform(0, 1);
-        Generation made;
+        Generation generation;
         if (uniform(this->random) < long_request_share) {
             // Wide: half have under 300 tokens, and some have 1,756.
             std::lognormal_distribution<double> output(std::log(400.0), 1.34);
             std::lognormal_distribution<double> error(0, 0.8);
-            made.prompt = static_cast<i64>(3000 * (0.6 + 0.8 * uniform(this->random)));
-            made.output = std::clamp<i64>(static_cast<i64>(output(this->random)), 4, 1756);
-            made.estimated_output
-                = std::clamp<i64>(static_cast<i64>(double(made.output) * error(this->random)), 4, 1756);
-            made.goal = 1800ms;
+            generation.prompt = static_cast<i64>(3000 * (0.6 + 0.8 * uniform(this->random)));
+            generation.output = std::clamp<i64>(static_cast<i64>(output(this->random)), 4, 1756);
+            generation.estimated_output
+                = std::clamp<i64>(static_cast<i64>(double(generation.output) * error(this->random)), 4, 1756);
+            generation.goal = 1800ms;
         } else {
-            made.prompt = static_cast<i64>(2200 * (0.4 + 1.2 * uniform(this->random)));
-            made.output = made.estimated_output = 10;
-            made.goal = 1500ms;
+            generation.prompt = static_cast<i64>(2200 * (0.4 + 1.2 * uniform(this->random)));
+            generation.output = generation.estimated_output = 10;
+            generation.goal = 1500ms;
         }
-        return made;
+        return generation;
     }
 
     /// As hosts know it, which is all of it but what the network adds.
--- a/Libraries/LibPolicyBench/Simulation.h
+++ b/Libraries/LibPolicyBench/Simulation.h
@@ -34,7 +34,7 @@
         StepEnd,
         Report,
         Message,
-        Reclaim,
+        ReclaimNotice,
         EngineReclaimed,
     };
 
