--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -38,7 +38,7 @@
     VERIFY(false);
 }
 
-static void end(RequestStory& story, LogLine const& line, Outcome outcome, std::string reason = {})
+static void end(RequestTrace& story, LogLine const& line, Outcome outcome, std::string reason = {})
 {
     story.outcome = outcome;
     story.ended_at = line.milliseconds;
@@ -48,7 +48,7 @@
 /// Of a value that one line has and its goal, both in milliseconds; goals that the log does not tell are kept.
 static bool is_over(std::optional<i64> value, std::optional<i64> goal) { return value && goal && *value > *goal; }
 
-static void end_generation(RequestStory& story, LogLine const& line)
+static void end_generation(RequestTrace& story, LogLine const& line)
 {
     if (line.text("how") != "complete")
         return end(story, line, Outcome::BrokenOff, line.text("how") + line.text("status"));
@@ -66,7 +66,7 @@
     end(story, line, Outcome::Late, was_moved ? "pause of a move" : "pause without a move");
 }
 
-static void end_call(RequestStory& story, LogLine const& line)
+static void end_call(RequestTrace& story, LogLine const& line)
 {
     if (line.number("status").value_or(0) >= first_server_error)
         return end(story, line, Outcome::FailedByServer, "status " + line.text("status"));
@@ -75,14 +75,14 @@
         is_late ? "answered by try " + line.text("tries") : std::string {});
 }
 
-static void end_by_own_answer(RequestStory& story, LogLine const& line)
+static void end_by_own_answer(RequestTrace& story, LogLine const& line)
 {
     auto status = line.number("status").value_or(0);
     bool const may_have_run = status == bad_gateway || status == gateway_timeout;
     end(story, line, may_have_run ? Outcome::Failed : Outcome::Refused, line.text("reason"));
 }
 
-static void take_end(RequestStory& story, LogLine const& line)
+static void take_end(RequestTrace& story, LogLine const& line)
 {
     switch (line.event) {
     case EventNumber::StreamEnded:
@@ -104,7 +104,7 @@
 {
     if (line.event == EventNumber::RequestReceived) {
         this->index_of_id[line.subject] = this->requests.size();
-        RequestStory story;
+        RequestTrace story;
         story.id = line.subject;
         story.host = line.host;
         story.route = line.text("route");
@@ -121,14 +121,14 @@
     take_end(story, line);
 }
 
-std::vector<RequestStory> RequestAccount::stories() const
+std::vector<RequestTrace> RequestAccount::stories() const
 {
     auto sorted = this->requests;
-    std::ranges::stable_sort(sorted, {}, &RequestStory::received_at);
+    std::ranges::stable_sort(sorted, {}, &RequestTrace::received_at);
     return sorted;
 }
 
-std::vector<Row> count_by_time(std::vector<RequestStory> const& stories, u64 span_milliseconds)
+std::vector<Row> count_by_time(std::vector<RequestTrace> const& stories, u64 span_milliseconds)
 {
     std::map<std::pair<u64, std::string>, Row> rows;
     for (auto const& story : stories) {
--- a/Libraries/LibAccount/RequestAccount.h
+++ b/Libraries/LibAccount/RequestAccount.h
@@ -36,7 +36,7 @@
 std::string_view to_string(Outcome);
 
 /// One try of a caller, as its host saw it. Hosts cannot tell a caller's second try from a first one.
-struct RequestStory {
+struct RequestTrace {
     std::string id;
     std::string host;
     std::string route;
@@ -55,10 +55,10 @@
 public:
     void take(LogLine);
     /// Requests in the order in which they were received.
-    [[nodiscard]] std::vector<RequestStory> stories() const;
+    [[nodiscard]] std::vector<RequestTrace> stories() const;
 
 private:
-    std::vector<RequestStory> requests;
+    std::vector<RequestTrace> requests;
     std::map<std::string, size_t> index_of_id;
 };
 
@@ -70,6 +70,6 @@
     std::array<u32, outcome_count> counts {};
 };
 
-std::vector<Row> count_by_time(std::vector<RequestStory> const&, u64 span_milliseconds);
+std::vector<Row> count_by_time(std::vector<RequestTrace> const&, u64 span_milliseconds);
 
 }
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -17,7 +17,7 @@
     return *parsed.value();
 }
 
-static RequestStory story_of(std::vector<std::string> const& lines)
+static RequestTrace story_of(std::vector<std::string> const& lines)
 {
     RequestAccount account;
     for (auto const& text : lines)
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -66,7 +66,7 @@
     }
 }
 
-static void print_reasons(std::vector<Account::RequestStory> const& stories)
+static void print_reasons(std::vector<Account::RequestTrace> const& stories)
 {
     std::map<std::tuple<std::string, std::string_view, std::string>, u32> counts;
     for (auto const& story : stories) {
@@ -81,10 +81,10 @@
 }
 
 /// What bounds a day from outside: more could be served only by engines and servers that do better, or hosts that last.
-static void print_bounds(std::vector<Account::RequestStory> const& stories)
+static void print_bounds(std::vector<Account::RequestTrace> const& stories)
 {
     auto count = [&](Account::Outcome outcome) {
-        return std::ranges::count(stories, outcome, &Account::RequestStory::outcome);
+        return std::ranges::count(stories, outcome, &Account::RequestTrace::outcome);
     };
     std::cout << "\nOf " << stories.size() << " tries, the host of " << count(Account::Outcome::HostEnded)
               << " ended first, and " << count(Account::Outcome::FailedByServer)
@@ -104,7 +104,7 @@
     }
 }
 
-static void print_stories(std::vector<Account::RequestStory> const& stories)
+static void print_stories(std::vector<Account::RequestTrace> const& stories)
 {
     for (auto const& story : stories) {
         if (!story.is_generation || story.outcome != Account::Outcome::BrokenOff)
