--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -121,7 +121,7 @@
     take_end(story, line);
 }
 
-std::vector<RequestTrace> RequestAccount::stories() const
+std::vector<RequestTrace> RequestAccount::traces() const
 {
     auto sorted = this->requests;
     std::ranges::stable_sort(sorted, {}, &RequestTrace::received_at);
@@ -131,8 +131,8 @@
 std::vector<Row> count_by_time(std::vector<RequestTrace> const& stories, u64 span_milliseconds)
 {
     std::map<std::pair<u64, std::string>, Row> rows;
-    for (auto const& story : stories) {
-        auto since_first = story.received_at - stories.front().received_at;
+    for (auto const& story : traces) {
+        auto since_first = story.received_at - traces.front().received_at;
         auto from = since_first / span_milliseconds * span_milliseconds;
         auto& row = rows[{ from, story.route }];
         row.from = from;
--- a/Libraries/LibAccount/RequestAccount.h
+++ b/Libraries/LibAccount/RequestAccount.h
@@ -55,7 +55,7 @@
 public:
     void take(LogLine);
     /// Requests in the order in which they were received.
-    [[nodiscard]] std::vector<RequestTrace> stories() const;
+    [[nodiscard]] std::vector<RequestTrace> traces() const;
 
 private:
     std::vector<RequestTrace> requests;
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -22,9 +22,9 @@
     RequestAccount account;
     for (auto const& text : lines)
         account.take(line(text));
-    auto stories = account.stories();
-    REQUIRE(stories.size() == 1);
-    return stories.front();
+    auto traces = account.traces();
+    REQUIRE(traces.size() == 1);
+    return traces.front();
 }
 
 SCENARIO("a line of a structured log is read, with whatever stands before it")
@@ -109,10 +109,10 @@
     take("ms=2200 event=E2002 request_refused subject=c4 status=503 reason=\"send it again\"");
     take("ms=2150 event=E2001 request_received subject=c5 route=lookup goal_ms=150");
     take("ms=3150 event=E2002 request_refused subject=c5 status=504 reason=\"it may have run\"");
-    auto stories = account.stories();
-    CHECK(stories[2].outcome == Outcome::FailedByServer);
-    CHECK(stories[3].outcome == Outcome::Refused);
-    CHECK(stories[4].outcome == Outcome::Failed);
+    auto traces = account.traces();
+    CHECK(traces[2].outcome == Outcome::FailedByServer);
+    CHECK(traces[3].outcome == Outcome::Refused);
+    CHECK(traces[4].outcome == Outcome::Failed);
 
     auto rows = count_by_time(stories, 1000);
     REQUIRE(rows.size() == 2);
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -66,10 +66,10 @@
     }
 }
 
-static void print_reasons(std::vector<Account::RequestTrace> const& stories)
+static void print_reasons(std::vector<Account::RequestTrace> const& traces)
 {
     std::map<std::tuple<std::string, std::string_view, std::string>, u32> counts;
-    for (auto const& story : stories) {
+    for (auto const& story : traces) {
         if (!story.reason.empty())
             ++counts[{ story.route, to_string(story.outcome), story.reason }];
     }
@@ -81,12 +81,12 @@
 }
 
 /// What bounds a day from outside: more could be served only by engines and servers that do better, or hosts that last.
-static void print_bounds(std::vector<Account::RequestTrace> const& stories)
+static void print_bounds(std::vector<Account::RequestTrace> const& traces)
 {
     auto count = [&](Account::Outcome outcome) {
         return std::ranges::count(stories, outcome, &Account::RequestTrace::outcome);
     };
-    std::cout << "\nOf " << stories.size() << " tries, the host of " << count(Account::Outcome::HostEnded)
+    std::cout << "\nOf " << traces.size() << " tries, the host of " << count(Account::Outcome::HostEnded)
               << " ended first, and " << count(Account::Outcome::FailedByServer)
               << " were given a backend server's failure after the tries that their route allows.\n";
 }
@@ -104,9 +104,9 @@
     }
 }
 
-static void print_stories(std::vector<Account::RequestTrace> const& stories)
+static void print_stories(std::vector<Account::RequestTrace> const& traces)
 {
-    for (auto const& story : stories) {
+    for (auto const& story : traces) {
         if (!story.is_generation || story.outcome != Account::Outcome::BrokenOff)
             continue;
         std::cout << '\n' << story.id << " at " << story.host << ": " << story.reason << '\n';
@@ -145,14 +145,14 @@
     }
     if (argc == 1)
         read_log(std::cin, "standard input", accounts);
-    auto stories = accounts.requests.stories();
-    if (!stories.empty()) {
+    auto traces = accounts.requests.traces();
+    if (!traces.empty()) {
         print_rows(count_by_time(stories, FLAGS_span_ms));
-        print_reasons(stories);
-        print_bounds(stories);
+        print_reasons(traces);
+        print_bounds(traces);
         print_repeats(accounts.repeats);
     }
     if (FLAGS_stories)
-        print_stories(stories);
+        print_stories(traces);
     return all_opened ? 0 : 1;
 }
