--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -38,63 +38,63 @@
     VERIFY(false);
 }
 
-static void end(RequestTrace& story, LogLine const& line, Outcome outcome, std::string reason = {})
+static void end(RequestTrace& trace, LogLine const& line, Outcome outcome, std::string reason = {})
 {
-    story.outcome = outcome;
-    story.ended_at = line.milliseconds;
-    story.reason = std::move(reason);
+    trace.outcome = outcome;
+    trace.ended_at = line.milliseconds;
+    trace.reason = std::move(reason);
 }
 
 /// Of a value that one line has and its goal, both in milliseconds; goals that the log does not tell are kept.
 static bool is_over(std::optional<i64> value, std::optional<i64> goal) { return value && goal && *value > *goal; }
 
-static void end_generation(RequestTrace& story, LogLine const& line)
+static void end_generation(RequestTrace& trace, LogLine const& line)
 {
     if (line.text("how") != "complete")
-        return end(story, line, Outcome::BrokenOff, line.text("how") + line.text("status"));
-    auto goal = story.lines.front().number("goal_ms");
-    for (auto const& earlier : story.lines) {
+        return end(trace, line, Outcome::BrokenOff, line.text("how") + line.text("status"));
+    auto goal = trace.lines.front().number("goal_ms");
+    for (auto const& earlier : trace.lines) {
         if (earlier.event == EventNumber::FirstTokenDelivered && is_over(earlier.number("waited_ms"), goal))
-            return end(story, line, Outcome::Late, "first event after " + earlier.text("waited_ms") + " ms");
+            return end(trace, line, Outcome::Late, "first event after " + earlier.text("waited_ms") + " ms");
     }
     if (!is_over(line.number("longest_gap_ms"), line.number("pause_goal_ms")))
-        return end(story, line, Outcome::InTime);
-    bool const was_moved = std::ranges::any_of(story.lines, [&](LogLine const& earlier) {
+        return end(trace, line, Outcome::InTime);
+    bool const was_moved = std::ranges::any_of(trace.lines, [&](LogLine const& earlier) {
         return earlier.event == EventNumber::GenerationMoved
             && is_over(earlier.number("paused_ms"), line.number("pause_goal_ms"));
     });
-    end(story, line, Outcome::Late, was_moved ? "pause of a move" : "pause without a move");
+    end(trace, line, Outcome::Late, was_moved ? "pause of a move" : "pause without a move");
 }
 
-static void end_call(RequestTrace& story, LogLine const& line)
+static void end_call(RequestTrace& trace, LogLine const& line)
 {
     if (line.number("status").value_or(0) >= first_server_error)
-        return end(story, line, Outcome::FailedByServer, "status " + line.text("status"));
-    bool const is_late = is_over(line.number("held_ms"), story.lines.front().number("goal_ms"));
-    end(story, line, is_late ? Outcome::Late : Outcome::InTime,
+        return end(trace, line, Outcome::FailedByServer, "status " + line.text("status"));
+    bool const is_late = is_over(line.number("held_ms"), trace.lines.front().number("goal_ms"));
+    end(trace, line, is_late ? Outcome::Late : Outcome::InTime,
         is_late ? "answered by try " + line.text("tries") : std::string {});
 }
 
-static void end_by_own_answer(RequestTrace& story, LogLine const& line)
+static void end_by_own_answer(RequestTrace& trace, LogLine const& line)
 {
     auto status = line.number("status").value_or(0);
     bool const may_have_run = status == bad_gateway || status == gateway_timeout;
-    end(story, line, may_have_run ? Outcome::Failed : Outcome::Refused, line.text("reason"));
+    end(trace, line, may_have_run ? Outcome::Failed : Outcome::Refused, line.text("reason"));
 }
 
-static void take_end(RequestTrace& story, LogLine const& line)
+static void take_end(RequestTrace& trace, LogLine const& line)
 {
     switch (line.event) {
     case EventNumber::StreamEnded:
-        return end_generation(story, line);
+        return end_generation(trace, line);
     case EventNumber::ServiceCallEnded:
-        return end_call(story, line);
+        return end_call(trace, line);
     case EventNumber::RequestRefused:
-        return end_by_own_answer(story, line);
+        return end_by_own_answer(trace, line);
     case EventNumber::StreamFailed:
-        return end(story, line, Outcome::BrokenOff, line.text("reason"));
+        return end(trace, line, Outcome::BrokenOff, line.text("reason"));
     case EventNumber::CallerLeft:
-        return end(story, line, Outcome::CallerLeft);
+        return end(trace, line, Outcome::CallerLeft);
     default:
         return;
     }
@@ -104,21 +104,21 @@
 {
     if (line.event == EventNumber::RequestReceived) {
         this->index_of_id[line.subject] = this->requests.size();
-        RequestTrace story;
-        story.id = line.subject;
-        story.host = line.host;
-        story.route = line.text("route");
-        story.received_at = line.milliseconds;
-        story.reason = "its host's log ends before it";
-        this->requests.push_back(std::move(story));
+        RequestTrace trace;
+        trace.id = line.subject;
+        trace.host = line.host;
+        trace.route = line.text("route");
+        trace.received_at = line.milliseconds;
+        trace.reason = "its host's log ends before it";
+        this->requests.push_back(std::move(trace));
     }
     auto found = this->index_of_id.find(line.subject);
     if (found == this->index_of_id.end())
         return;
-    auto& story = this->requests[found->second];
-    story.is_generation = story.is_generation || line.event == EventNumber::GenerationPlaced;
-    story.lines.push_back(line);
-    take_end(story, line);
+    auto& trace = this->requests[found->second];
+    trace.is_generation = trace.is_generation || line.event == EventNumber::GenerationPlaced;
+    trace.lines.push_back(line);
+    take_end(trace, line);
 }
 
 std::vector<RequestTrace> RequestAccount::traces() const
@@ -131,13 +131,13 @@
 std::vector<Row> count_by_time(std::vector<RequestTrace> const& stories, u64 span_milliseconds)
 {
     std::map<std::pair<u64, std::string>, Row> rows;
-    for (auto const& story : traces) {
-        auto since_first = story.received_at - traces.front().received_at;
+    for (auto const& trace : traces) {
+        auto since_first = trace.received_at - traces.front().received_at;
         auto from = since_first / span_milliseconds * span_milliseconds;
-        auto& row = rows[{ from, story.route }];
+        auto& row = rows[{ from, trace.route }];
         row.from = from;
-        row.route = story.route;
-        ++row.counts[static_cast<size_t>(story.outcome)];
+        row.route = trace.route;
+        ++row.counts[static_cast<size_t>(trace.outcome)];
     }
     std::vector<Row> all;
     all.reserve(rows.size());
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -69,9 +69,9 @@
 static void print_reasons(std::vector<Account::RequestTrace> const& traces)
 {
     std::map<std::tuple<std::string, std::string_view, std::string>, u32> counts;
-    for (auto const& story : traces) {
-        if (!story.reason.empty())
-            ++counts[{ story.route, to_string(story.outcome), story.reason }];
+    for (auto const& trace : traces) {
+        if (!trace.reason.empty())
+            ++counts[{ trace.route, to_string(trace.outcome), trace.reason }];
     }
     std::cout << "\n| route | outcome | reason | tries |\n|---|---|---|---|\n";
     for (auto const& [key, count] : counts) {
@@ -106,12 +106,12 @@
 
 static void print_stories(std::vector<Account::RequestTrace> const& traces)
 {
-    for (auto const& story : traces) {
-        if (!story.is_generation || story.outcome != Account::Outcome::BrokenOff)
+    for (auto const& trace : traces) {
+        if (!trace.is_generation || trace.outcome != Account::Outcome::BrokenOff)
             continue;
-        std::cout << '\n' << story.id << " at " << story.host << ": " << story.reason << '\n';
-        for (auto const& line : story.lines) {
-            std::cout << "  " << line.milliseconds - story.received_at << " ms E" << static_cast<u32>(line.event);
+        std::cout << '\n' << trace.id << " at " << trace.host << ": " << trace.reason << '\n';
+        for (auto const& line : trace.lines) {
+            std::cout << "  " << line.milliseconds - trace.received_at << " ms E" << static_cast<u32>(line.event);
             for (auto const& [key, value] : line.values) {
                 if (key != "ms" && key != "event" && key != "subject")
                     std::cout << ' ' << key << '=' << value;
