--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -17,7 +17,7 @@
     return *parsed.value();
 }
 
-static RequestTrace story_of(std::vector<std::string> const& lines)
+static RequestTrace trace_of(std::vector<std::string> const& lines)
 {
     RequestAccount account;
     for (auto const& text : lines)
@@ -65,33 +65,33 @@
     WHEN("it ends whole")
     {
         lines.push_back(end + "longest_gap_ms=60");
-        CHECK(story_of(lines).outcome == Outcome::InTime);
-        CHECK(story_of(lines).reason.empty());
+        CHECK(trace_of(lines).outcome == Outcome::InTime);
+        CHECK(trace_of(lines).reason.empty());
     }
     WHEN("a move takes too long")
     {
         lines.push_back("ms=4000 event=E2110 generation_moved subject=g1 from=e1 to=e2 paused_ms=300");
         lines.push_back(end + "longest_gap_ms=300");
-        CHECK(story_of(lines).outcome == Outcome::Late);
-        CHECK(story_of(lines).reason == "pause of a move");
+        CHECK(trace_of(lines).outcome == Outcome::Late);
+        CHECK(trace_of(lines).reason == "pause of a move");
     }
     WHEN("its first event is late")
     {
         lines[2] = "ms=3400 event=E2201 first_token_delivered subject=g1 engine=e1 waited_ms=2400";
         lines.push_back(end + "longest_gap_ms=60");
-        CHECK(story_of(lines).outcome == Outcome::Late);
+        CHECK(trace_of(lines).outcome == Outcome::Late);
     }
     WHEN("its engine ends")
     {
         lines.push_back("ms=5000 event=E2204 stream_failed subject=g1 reason=\"its engine ended\"");
-        CHECK(story_of(lines).outcome == Outcome::BrokenOff);
-        CHECK(story_of(lines).reason == "its engine ended");
+        CHECK(trace_of(lines).outcome == Outcome::BrokenOff);
+        CHECK(trace_of(lines).reason == "its engine ended");
     }
     WHEN("the log ends first")
     {
-        CHECK(story_of(lines).outcome == Outcome::HostEnded);
-        CHECK(story_of(lines).is_generation);
-        CHECK(story_of(lines).lines.size() == 3);
+        CHECK(trace_of(lines).outcome == Outcome::HostEnded);
+        CHECK(trace_of(lines).is_generation);
+        CHECK(trace_of(lines).lines.size() == 3);
     }
 }
 
