--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -28,7 +28,7 @@
         return "failed_by_server";
     case Outcome::Failed:
         return "failed";
-    case Outcome::BrokenOff:
+    case Outcome::Interrupted:
         return "broken_off";
     case Outcome::CallerLeft:
         return "caller_left";
@@ -51,7 +51,7 @@
 static void end_generation(RequestTrace& trace, LogLine const& line)
 {
     if (line.text("how") != "complete")
-        return end(trace, line, Outcome::BrokenOff, line.text("how") + line.text("status"));
+        return end(trace, line, Outcome::Interrupted, line.text("how") + line.text("status"));
     auto goal = trace.lines.front().number("goal_ms");
     for (auto const& earlier : trace.lines) {
         if (earlier.event == EventNumber::FirstTokenDelivered && is_over(earlier.number("waited_ms"), goal))
@@ -92,7 +92,7 @@
     case EventNumber::RequestRefused:
         return end_by_own_answer(trace, line);
     case EventNumber::StreamFailed:
-        return end(trace, line, Outcome::BrokenOff, line.text("reason"));
+        return end(trace, line, Outcome::Interrupted, line.text("reason"));
     case EventNumber::CallerLeft:
         return end(trace, line, Outcome::CallerLeft);
     default:
--- a/Libraries/LibAccount/RequestAccount.h
+++ b/Libraries/LibAccount/RequestAccount.h
@@ -24,7 +24,7 @@
     /// Answered by the host itself that it may have run.
     Failed,
     /// A stream that was begun and not ended whole.
-    BrokenOff,
+    Interrupted,
     /// The caller closed its connection first.
     CallerLeft,
     /// The host's process ended, or its log does, before the request.
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -84,7 +84,7 @@
     WHEN("its engine ends")
     {
         lines.push_back("ms=5000 event=E2204 stream_failed subject=g1 reason=\"its engine ended\"");
-        CHECK(trace_of(lines).outcome == Outcome::BrokenOff);
+        CHECK(trace_of(lines).outcome == Outcome::Interrupted);
         CHECK(trace_of(lines).reason == "its engine ended");
     }
     WHEN("the log ends first")
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -107,7 +107,7 @@
 static void print_stories(std::vector<Account::RequestTrace> const& traces)
 {
     for (auto const& trace : traces) {
-        if (!trace.is_generation || trace.outcome != Account::Outcome::BrokenOff)
+        if (!trace.is_generation || trace.outcome != Account::Outcome::Interrupted)
             continue;
         std::cout << '\n' << trace.id << " at " << trace.host << ": " << trace.reason << '\n';
         for (auto const& line : trace.lines) {
