--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -32,7 +32,7 @@
         return "broken_off";
     case Outcome::CallerLeft:
         return "caller_left";
-    case Outcome::HostEnded:
+    case Outcome::HostTerminated:
         return "host_ended";
     }
     VERIFY(false);
--- a/Libraries/LibAccount/RequestAccount.h
+++ b/Libraries/LibAccount/RequestAccount.h
@@ -28,7 +28,7 @@
     /// The caller closed its connection first.
     CallerLeft,
     /// The host's process ended, or its log does, before the request.
-    HostEnded,
+    HostTerminated,
 };
 
 inline constexpr size_t outcome_count = 8;
@@ -43,7 +43,7 @@
     bool is_generation { false };
     u64 received_at { 0 };
     u64 ended_at { 0 };
-    Outcome outcome { Outcome::HostEnded };
+    Outcome outcome { Outcome::HostTerminated };
     /// Why it was not served whole and in time; empty when it was.
     std::string reason;
     /// Every line about it, in the order of its host's log.
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -89,7 +89,7 @@
     }
     WHEN("the log ends first")
     {
-        CHECK(trace_of(lines).outcome == Outcome::HostEnded);
+        CHECK(trace_of(lines).outcome == Outcome::HostTerminated);
         CHECK(trace_of(lines).is_generation);
         CHECK(trace_of(lines).lines.size() == 3);
     }
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -86,7 +86,7 @@
     auto count = [&](Account::Outcome outcome) {
         return std::ranges::count(stories, outcome, &Account::RequestTrace::outcome);
     };
-    std::cout << "\nOf " << traces.size() << " tries, the host of " << count(Account::Outcome::HostEnded)
+    std::cout << "\nOf " << traces.size() << " tries, the host of " << count(Account::Outcome::HostTerminated)
               << " ended first, and " << count(Account::Outcome::FailedByServer)
               << " were given a backend server's failure after the tries that their route allows.\n";
 }
