--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -30,7 +30,7 @@
         return "failed";
     case Outcome::Interrupted:
         return "broken_off";
-    case Outcome::CallerLeft:
+    case Outcome::CallerDisconnected:
         return "caller_left";
     case Outcome::HostTerminated:
         return "host_ended";
@@ -94,7 +94,7 @@
     case EventNumber::StreamFailed:
         return end(trace, line, Outcome::Interrupted, line.text("reason"));
     case EventNumber::CallerLeft:
-        return end(trace, line, Outcome::CallerLeft);
+        return end(trace, line, Outcome::CallerDisconnected);
     default:
         return;
     }
