--- a/Tests/LibAccount/TestRepeatAccount.cpp
+++ b/Tests/LibAccount/TestRepeatAccount.cpp
@@ -56,7 +56,7 @@
     auto take = [&](std::string const& text) {
         auto parsed = parse_log_line(text);
         REQUIRE(parsed);
-        account.take(*parsed.value());
+        account.add(*parsed.value());
     };
     take("host-2 ms=1000 event=E2001 request_received subject=c1 route=lookup service=lanes");
     take("host-2 ms=1010 event=E2407 repeat_decided subject=c1 service=lanes granted=1 left=0.5 hosts=2");
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -21,7 +21,7 @@
 {
     RequestAccount account;
     for (auto const& text : lines)
-        account.take(line(text));
+        account.add(line(text));
     auto traces = account.traces();
     REQUIRE(traces.size() == 1);
     return traces.front();
@@ -98,7 +98,7 @@
 SCENARIO("what became of calls is counted by time and route")
 {
     RequestAccount account;
-    auto take = [&](std::string const& text) { account.take(line(text)); };
+    auto take = [&](std::string const& text) { account.add(line(text)); };
     take("ms=1000 event=E2001 request_received subject=c1 route=lookup goal_ms=150");
     take("ms=1040 event=E2402 service_call_ended subject=c1 status=200 tries=1 held_ms=40");
     take("ms=1100 event=E2001 request_received subject=c2 route=lookup goal_ms=150");
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -33,8 +33,8 @@
         if (!line)
             std::cerr << name << ':' << number << ": " << line.error().message << "; it is left out" << std::endl;
         else if (line.value()) {
-            accounts.repeats.take(*line.value());
-            accounts.requests.take(std::move(*line.value()));
+            accounts.repeats.add(*line.value());
+            accounts.requests.add(std::move(*line.value()));
         }
     }
 }
