--- a/Libraries/LibAccount/RepeatAccount.cpp
+++ b/Libraries/LibAccount/RepeatAccount.cpp
@@ -48,7 +48,7 @@
     return worst;
 }
 
-void RepeatAccount::take(LogLine const& line)
+void RepeatAccount::add(LogLine const& line)
 {
     auto const service = line.text("service");
     if (service.empty())
--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -100,7 +100,7 @@
     }
 }
 
-void RequestAccount::take(LogLine line)
+void RequestAccount::add(LogLine line)
 {
     if (line.event == EventNumber::RequestReceived) {
         this->index_of_id[line.subject] = this->requests.size();
