--- a/Libraries/LibAccount/LogLine.cpp
+++ b/Libraries/LibAccount/LogLine.cpp
@@ -40,7 +40,7 @@
 }
 
 /// Takes a value off the front of `rest`: up to the next blank, or between quotes with their escapes undone.
-static std::optional<std::string> take_value(std::string_view& rest)
+static std::optional<std::string> parse_value(std::string_view& rest)
 {
     if (!rest.starts_with('"')) {
         auto end = std::min(rest.find(' '), rest.size());
@@ -78,7 +78,7 @@
         }
         std::string key(rest.substr(0, key_end));
         rest.remove_prefix(key_end + 1);
-        auto value = take_value(rest);
+        auto value = parse_value(rest);
         if (!value)
             return false;
         values[key] = std::move(*value);
