--- a/Libraries/LibAccount/LogLine.cpp
+++ b/Libraries/LibAccount/LogLine.cpp
@@ -64,7 +64,7 @@
 
 /// Fills in the keys and values of `rest`; the event's name stands among them without a value. False when a quote has
 /// no end.
-static bool take_values(std::string_view rest, std::map<std::string, std::string>& values)
+static bool parse_values(std::string_view rest, std::map<std::string, std::string>& values)
 {
     while (!rest.empty()) {
         if (rest.front() == ' ') {
@@ -94,7 +94,7 @@
         return std::optional<LogLine> {};
     LogLine line;
     line.host = last_word(text.substr(0, begin));
-    if (!take_values(text.substr(begin), line.values))
+    if (!parse_values(text.substr(begin), line.values))
         return Error { ErrorKind::InvalidRequest, "a quote without an end; was the line cut?", {} };
     auto milliseconds = parse_number<u64>(line.text("ms"));
     auto number = parse_number<u32>(std::string_view(line.values["event"]).substr(1));
