--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -82,7 +82,7 @@
     end(trace, line, may_have_run ? Outcome::Failed : Outcome::Refused, line.text("reason"));
 }
 
-static void take_end(RequestTrace& trace, LogLine const& line)
+static void apply_end(RequestTrace& trace, LogLine const& line)
 {
     switch (line.event) {
     case EventNumber::StreamEnded:
@@ -118,7 +118,7 @@
     auto& trace = this->requests[found->second];
     trace.is_generation = trace.is_generation || line.event == EventNumber::GenerationPlaced;
     trace.lines.push_back(line);
-    take_end(trace, line);
+    apply_end(trace, line);
 }
 
 std::vector<RequestTrace> RequestAccount::traces() const
