--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -75,7 +75,7 @@
         is_late ? "answered by try " + line.text("tries") : std::string {});
 }
 
-static void end_by_own_answer(RequestTrace& trace, LogLine const& line)
+static void end_with_host_response(RequestTrace& trace, LogLine const& line)
 {
     auto status = line.number("status").value_or(0);
     bool const may_have_run = status == bad_gateway || status == gateway_timeout;
@@ -90,7 +90,7 @@
     case EventNumber::ServiceCallEnded:
         return end_call(trace, line);
     case EventNumber::RequestRefused:
-        return end_by_own_answer(trace, line);
+        return end_with_host_response(trace, line);
     case EventNumber::StreamFailed:
         return end(trace, line, Outcome::Interrupted, line.text("reason"));
     case EventNumber::CallerLeft:
