--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -104,7 +104,7 @@
     }
 }
 
-static void print_stories(std::vector<Account::RequestTrace> const& traces)
+static void print_traces(std::vector<Account::RequestTrace> const& traces)
 {
     for (auto const& trace : traces) {
         if (!trace.is_generation || trace.outcome != Account::Outcome::Interrupted)
@@ -153,6 +153,6 @@
         print_repeats(accounts.repeats);
     }
     if (FLAGS_stories)
-        print_stories(traces);
+        print_traces(traces);
     return all_opened ? 0 : 1;
 }
