--- a/Libraries/LibEngineModel/EngineModel.cpp
+++ b/Libraries/LibEngineModel/EngineModel.cpp
@@ -35,7 +35,7 @@
     return this->parameters.capacity_tokens / this->parameters.block_tokens - this->used_blocks - this->cached_blocks;
 }
 
-bool Engine::make_room(i64 blocks, std::vector<StepEvent>& events)
+bool Engine::evict_prefixes_for(i64 blocks, std::vector<StepEvent>& events)
 {
     while (this->free_blocks() < blocks && !this->cached_prefixes.empty()) {
         auto [hash, held] = this->cached_prefixes.front();
@@ -58,7 +58,7 @@
     while (!this->waiting.empty() && this->running.size() < this->parameters.largest_batch) {
         auto& next = this->waiting.front();
         auto needed = this->blocks_for(next.request.prompt_tokens + next.produced + 1);
-        if (!this->make_room(needed, events))
+        if (!this->evict_prefixes_for(needed, events))
             return;
         auto is_cached = std::ranges::any_of(
             this->cached_prefixes, [&](auto const& entry) { return entry.first == next.request.prefix_hash; });
@@ -97,7 +97,7 @@
     for (size_t i = 0; i < this->running.size();) {
         auto needed = this->blocks_for(this->running[i].request.prompt_tokens + this->running[i].produced + 1);
         auto more = needed - this->running[i].blocks;
-        if (more > 0 && !this->make_room(more, events) && this->running.size() > 1) {
+        if (more > 0 && !this->evict_prefixes_for(more, events) && this->running.size() > 1) {
             auto victim = this->victim_position();
             this->preempt(victim, events);
             // Positions after the victim moved up; the same sequence is looked at again.
--- a/Libraries/LibEngineModel/EngineModel.h
+++ b/Libraries/LibEngineModel/EngineModel.h
@@ -96,7 +96,7 @@
         return (tokens + this->parameters.block_tokens - 1) / this->parameters.block_tokens;
     }
     [[nodiscard]] i64 free_blocks() const;
-    bool make_room(i64 blocks, std::vector<StepEvent>& events);
+    bool evict_prefixes_for(i64 blocks, std::vector<StepEvent>& events);
     void admit_waiting(std::vector<StepEvent>& events);
     void grow_running(std::vector<StepEvent>& events);
     void preempt(size_t position, std::vector<StepEvent>& events);
