--- a/Libraries/LibEngineModel/EngineModel.cpp
+++ b/Libraries/LibEngineModel/EngineModel.cpp
@@ -55,7 +55,7 @@
         };
         return rank(left) < rank(right);
     });
-    while (!this->waiting.empty() && this->running.size() < this->parameters.largest_batch) {
+    while (!this->waiting.empty() && this->running.size() < this->parameters.max_batch_size) {
         auto& next = this->waiting.front();
         auto needed = this->blocks_for(next.request.prompt_tokens + next.produced + 1);
         if (!this->evict_prefixes_for(needed, events))
--- a/Libraries/LibEngineModel/EngineModel.h
+++ b/Libraries/LibEngineModel/EngineModel.h
@@ -19,7 +19,7 @@
 struct EngineParameters {
     i64 capacity_tokens { 24'000 };
     i64 block_tokens { 16 };
-    u32 largest_batch { 128 };
+    u32 max_batch_size { 128 };
     i64 prefill_tokens_per_step { 512 };
     double step_seconds { 0.012 };
     double seconds_per_decode { 0.00025 };
