--- a/Libraries/LibEngineModel/EngineModel.cpp
+++ b/Libraries/LibEngineModel/EngineModel.cpp
@@ -128,7 +128,7 @@
     return this->parameters.prefill_tokens_per_step - budget;
 }
 
-void Engine::remember_prefix(Sequence const& sequence, std::vector<StepEvent>& events)
+void Engine::cache_prefix(Sequence const& sequence, std::vector<StepEvent>& events)
 {
     auto hash = sequence.request.prefix_hash;
     if (hash == 0)
@@ -165,7 +165,7 @@
         }
         events.push_back({ StepEventKind::Finished, sequence.request.key, sequence.produced });
         this->used_blocks -= sequence.blocks;
-        this->remember_prefix(sequence, events);
+        this->cache_prefix(sequence, events);
         this->running.erase(this->running.begin() + static_cast<std::ptrdiff_t>(i));
     }
 }
--- a/Libraries/LibEngineModel/EngineModel.h
+++ b/Libraries/LibEngineModel/EngineModel.h
@@ -103,7 +103,7 @@
     [[nodiscard]] size_t victim_position() const;
     i64 run_prefill();
     void emit_tokens(std::vector<StepEvent>& events, i64& decoded);
-    void remember_prefix(Sequence const&, std::vector<StepEvent>& events);
+    void cache_prefix(Sequence const&, std::vector<StepEvent>& events);
 
     EngineParameters parameters;
     u64 next_arrival { 0 };
