--- a/Libraries/LibEngineModel/EngineModel.cpp
+++ b/Libraries/LibEngineModel/EngineModel.cpp
@@ -92,7 +92,7 @@
     this->waiting.push_back(victim);
 }
 
-void Engine::grow_running(std::vector<StepEvent>& events)
+void Engine::allocate_for_running(std::vector<StepEvent>& events)
 {
     for (size_t i = 0; i < this->running.size();) {
         auto needed = this->blocks_for(this->running[i].request.prompt_tokens + this->running[i].produced + 1);
@@ -172,7 +172,7 @@
 
 Duration Engine::step(std::vector<StepEvent>& events)
 {
-    this->grow_running(events);
+    this->allocate_for_running(events);
     // Nothing new in a step that had to preempt: it would only be the next victim.
     auto has_preempted
         = std::ranges::any_of(events, [](StepEvent const& event) { return event.kind == StepEventKind::Preempted; });
--- a/Libraries/LibEngineModel/EngineModel.h
+++ b/Libraries/LibEngineModel/EngineModel.h
@@ -98,7 +98,7 @@
     [[nodiscard]] i64 free_blocks() const;
     bool evict_prefixes_for(i64 blocks, std::vector<StepEvent>& events);
     void admit_waiting(std::vector<StepEvent>& events);
-    void grow_running(std::vector<StepEvent>& events);
+    void allocate_for_running(std::vector<StepEvent>& events);
     void preempt(size_t position, std::vector<StepEvent>& events);
     [[nodiscard]] size_t victim_position() const;
     i64 run_prefill();
