--- a/Libraries/LibDelivery/EventStream.h
+++ b/Libraries/LibDelivery/EventStream.h
@@ -25,12 +25,12 @@
 class EventStreamReader {
 public:
     /// An event larger than this, in bytes, is no event of a generation.
-    static constexpr size_t largest_event_bytes = 256 << 10;
+    static constexpr size_t max_event_bytes = 256 << 10;
 
     /// Takes the next bytes of the stream; answers the events that they complete, in order.
     std::vector<StreamEvent> feed(std::string_view bytes);
     [[nodiscard]] bool has_partial_event() const { return !this->pending.empty(); }
-    [[nodiscard]] bool is_oversized() const { return this->pending.size() > largest_event_bytes; }
+    [[nodiscard]] bool is_oversized() const { return this->pending.size() > max_event_bytes; }
 
 private:
     std::string pending;
--- a/Tests/LibDelivery/TestEventStream.cpp
+++ b/Tests/LibDelivery/TestEventStream.cpp
@@ -39,7 +39,7 @@
     }
     GIVEN("an event that never ends")
     {
-        reader.feed(std::string(EventStreamReader::largest_event_bytes + 1, 'x'));
+        reader.feed(std::string(EventStreamReader::max_event_bytes + 1, 'x'));
         CHECK(reader.is_oversized());
     }
 }
