--- a/Libraries/LibHistory/History.cpp
+++ b/Libraries/LibHistory/History.cpp
@@ -150,7 +150,7 @@
     return found;
 }
 
-std::vector<Violation> check_forward_only(Record const& record)
+std::vector<Violation> check_revisions_monotonic(Record const& record)
 {
     std::map<std::pair<std::string, u64>, u64> last;
     std::vector<Violation> found;
@@ -168,7 +168,7 @@
 std::vector<Violation> check_all(Record const& record)
 {
     std::vector<Violation> all;
-    for (auto check : { check_delivery, check_not_run, check_at_most_once, check_forward_only }) {
+    for (auto check : { check_delivery, check_not_run, check_at_most_once, check_revisions_monotonic }) {
         auto found = check(record);
         all.insert(all.end(), found.begin(), found.end());
     }
--- a/Libraries/LibHistory/History.h
+++ b/Libraries/LibHistory/History.h
@@ -80,7 +80,7 @@
 /// A call that must not be repeated has at most one execution, and so has each idempotency key.
 std::vector<Violation> check_at_most_once(Record const&);
 /// No process ever goes back to an earlier revision.
-std::vector<Violation> check_forward_only(Record const&);
+std::vector<Violation> check_revisions_monotonic(Record const&);
 /// All of the above.
 std::vector<Violation> check_all(Record const&);
 
--- a/Tests/Promises/TestConfigurationSpread.cpp
+++ b/Tests/Promises/TestConfigurationSpread.cpp
@@ -43,7 +43,7 @@
     for (int i = 0; i < 10; ++i)
         fleet.apply(R"({"putModel":{"id":"model-)" + std::to_string(i) + "\"}}");
     wait_until("revision 18 everywhere", [&] { return revisions(fleet) == std::set<u64> { 18 }; });
-    CHECK(History::check_forward_only(revisions_seen(fleet)).empty());
+    CHECK(History::check_revisions_monotonic(revisions_seen(fleet)).empty());
 
     WHEN("the platform is out")
     {
@@ -66,7 +66,7 @@
             fleet.apply(R"({"putModel":{"id":"late"}})");
             fleet.platform->set_fault(0, PlatformFault::None);
             wait_until("revision 19 everywhere", [&] { return revisions(fleet) == std::set<u64> { 19 }; });
-            CHECK(History::check_forward_only(revisions_seen(fleet)).empty());
+            CHECK(History::check_revisions_monotonic(revisions_seen(fleet)).empty());
         }
     }
 }
