--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -128,7 +128,7 @@
     return sorted;
 }
 
-std::vector<Row> count_by_time(std::vector<RequestTrace> const& stories, u64 span_milliseconds)
+std::vector<Row> count_by_time(std::vector<RequestTrace> const& traces, u64 span_milliseconds)
 {
     std::map<std::pair<u64, std::string>, Row> rows;
     for (auto const& trace : traces) {
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -114,7 +114,7 @@
     CHECK(traces[3].outcome == Outcome::Refused);
     CHECK(traces[4].outcome == Outcome::Failed);
 
-    auto rows = count_by_time(stories, 1000);
+    auto rows = count_by_time(traces, 1000);
     REQUIRE(rows.size() == 2);
     CHECK(rows[0].from == 0);
     CHECK(rows[0].counts[static_cast<size_t>(Outcome::InTime)] == 1);
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -84,7 +84,7 @@
 static void print_bounds(std::vector<Account::RequestTrace> const& traces)
 {
     auto count = [&](Account::Outcome outcome) {
-        return std::ranges::count(stories, outcome, &Account::RequestTrace::outcome);
+        return std::ranges::count(traces, outcome, &Account::RequestTrace::outcome);
     };
     std::cout << "\nOf " << traces.size() << " tries, the host of " << count(Account::Outcome::HostTerminated)
               << " ended first, and " << count(Account::Outcome::FailedByServer)
@@ -147,7 +147,7 @@
         read_log(std::cin, "standard input", accounts);
     auto traces = accounts.requests.traces();
     if (!traces.empty()) {
-        print_rows(count_by_time(stories, FLAGS_span_ms));
+        print_rows(count_by_time(traces, FLAGS_span_ms));
         print_reasons(traces);
         print_bounds(traces);
         print_repeats(accounts.repeats);
