--- a/Libraries/LibAccount/RequestAccount.h
+++ b/Libraries/LibAccount/RequestAccount.h
@@ -26,7 +26,7 @@
     /// A stream that was begun and not ended whole.
     Interrupted,
     /// The caller closed its connection first.
-    CallerLeft,
+    CallerDisconnected,
     /// The host's process ended, or its log does, before the request.
     HostTerminated,
 };
