--- a/Libraries/LibAccount/RepeatAccount.h
+++ b/Libraries/LibAccount/RepeatAccount.h
@@ -47,7 +47,7 @@
         u32 withheld { 0 };
     };
 
-    void take(LogLine const&);
+    void add(LogLine const&);
     /// By name; the moments rise.
     [[nodiscard]] std::map<std::string, Service> services() const;
 
--- a/Libraries/LibAccount/RequestAccount.h
+++ b/Libraries/LibAccount/RequestAccount.h
@@ -53,7 +53,7 @@
 /// Puts together what the hosts' logs say of each request.
 class RequestAccount {
 public:
-    void take(LogLine);
+    void add(LogLine);
     /// Requests in the order in which they were received.
     [[nodiscard]] std::vector<RequestTrace> traces() const;
 
