--- a/Tests/LibAccount/TestRepeatAccount.cpp
+++ b/Tests/LibAccount/TestRepeatAccount.cpp
@@ -53,7 +53,7 @@
 SCENARIO("what hosts say of repeats is added up by service")
 {
     RepeatAccount account;
-    auto take = [&](std::string const& text) {
+    auto add_line = [&](std::string const& text) {
         auto parsed = parse_log_line(text);
         REQUIRE(parsed);
         account.add(*parsed.value());
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -98,7 +98,7 @@
 SCENARIO("what became of calls is counted by time and route")
 {
     RequestAccount account;
-    auto take = [&](std::string const& text) { account.add(line(text)); };
+    auto add_line = [&](std::string const& text) { account.add(line(text)); };
     take("ms=1000 event=E2001 request_received subject=c1 route=lookup goal_ms=150");
     take("ms=1040 event=E2402 service_call_ended subject=c1 status=200 tries=1 held_ms=40");
     take("ms=1100 event=E2001 request_received subject=c2 route=lookup goal_ms=150");
