--- a/Tests/LibAccount/TestRepeatAccount.cpp
+++ b/Tests/LibAccount/TestRepeatAccount.cpp
@@ -58,12 +58,12 @@
         REQUIRE(parsed);
         account.add(*parsed.value());
     };
-    take("host-2 ms=1000 event=E2001 request_received subject=c1 route=lookup service=lanes");
-    take("host-2 ms=1010 event=E2407 repeat_decided subject=c1 service=lanes granted=1 left=0.5 hosts=2");
-    take("host-2 ms=1020 event=E2407 repeat_decided subject=c1 service=lanes granted=0 left=0.5 hosts=2");
-    take("host-1 ms=900 event=E2001 request_received subject=c2 route=lookup service=lanes");
-    take("host-1 ms=910 event=E2407 repeat_decided subject=c2 service=lanes granted=1 left=0.5 hosts=2");
-    take("host-1 ms=910 event=E2404 call_retried subject=c2 from=b1");
+    add_line("host-2 ms=1000 event=E2001 request_received subject=c1 route=lookup service=lanes");
+    add_line("host-2 ms=1010 event=E2407 repeat_decided subject=c1 service=lanes granted=1 left=0.5 hosts=2");
+    add_line("host-2 ms=1020 event=E2407 repeat_decided subject=c1 service=lanes granted=0 left=0.5 hosts=2");
+    add_line("host-1 ms=900 event=E2001 request_received subject=c2 route=lookup service=lanes");
+    add_line("host-1 ms=910 event=E2407 repeat_decided subject=c2 service=lanes granted=1 left=0.5 hosts=2");
+    add_line("host-1 ms=910 event=E2404 call_retried subject=c2 from=b1");
     auto services = account.services();
     REQUIRE(services.size() == 1);
     auto const& lanes = services.at("lanes");
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -99,16 +99,16 @@
 {
     RequestAccount account;
     auto add_line = [&](std::string const& text) { account.add(line(text)); };
-    take("ms=1000 event=E2001 request_received subject=c1 route=lookup goal_ms=150");
-    take("ms=1040 event=E2402 service_call_ended subject=c1 status=200 tries=1 held_ms=40");
-    take("ms=1100 event=E2001 request_received subject=c2 route=lookup goal_ms=150");
-    take("ms=1400 event=E2402 service_call_ended subject=c2 status=200 tries=2 held_ms=300");
-    take("ms=1200 event=E2001 request_received subject=c3 route=lookup goal_ms=150");
-    take("ms=1240 event=E2402 service_call_ended subject=c3 status=500 tries=2 held_ms=40");
-    take("ms=2100 event=E2001 request_received subject=c4 route=lookup goal_ms=150");
-    take("ms=2200 event=E2002 request_refused subject=c4 status=503 reason=\"send it again\"");
-    take("ms=2150 event=E2001 request_received subject=c5 route=lookup goal_ms=150");
-    take("ms=3150 event=E2002 request_refused subject=c5 status=504 reason=\"it may have run\"");
+    add_line("ms=1000 event=E2001 request_received subject=c1 route=lookup goal_ms=150");
+    add_line("ms=1040 event=E2402 service_call_ended subject=c1 status=200 tries=1 held_ms=40");
+    add_line("ms=1100 event=E2001 request_received subject=c2 route=lookup goal_ms=150");
+    add_line("ms=1400 event=E2402 service_call_ended subject=c2 status=200 tries=2 held_ms=300");
+    add_line("ms=1200 event=E2001 request_received subject=c3 route=lookup goal_ms=150");
+    add_line("ms=1240 event=E2402 service_call_ended subject=c3 status=500 tries=2 held_ms=40");
+    add_line("ms=2100 event=E2001 request_received subject=c4 route=lookup goal_ms=150");
+    add_line("ms=2200 event=E2002 request_refused subject=c4 status=503 reason=\"send it again\"");
+    add_line("ms=2150 event=E2001 request_received subject=c5 route=lookup goal_ms=150");
+    add_line("ms=3150 event=E2002 request_refused subject=c5 status=504 reason=\"it may have run\"");
     auto traces = account.traces();
     CHECK(traces[2].outcome == Outcome::FailedByServer);
     CHECK(traces[3].outcome == Outcome::Refused);
