--- a/Libraries/LibScheduling/Admission.h
+++ b/Libraries/LibScheduling/Admission.h
@@ -12,8 +12,8 @@
 
 namespace Scheduling {
 
-/// Decides whether an engine's memory has room for one more generation, and how tight it would be: 0 for an empty
-/// engine, 1 for one that is just full by the policy's reckoning, more when it does not fit.
+/// Estimates the memory utilisation of an engine with one more generation on it: 0 for an empty engine, 1 for an engine
+/// that is exactly full by the policy's estimate. The generation does not fit above 1.
 template<typename T>
 concept AdmissionPolicy = requires(T& policy, Tables& tables, EngineRow& engine, GenerationRow const& generation)
 {
@@ -22,8 +22,9 @@
         } -> std::same_as<double>;
 };
 
-/// The shipped policy: the chance that demand passes the memory at any horizon, were nothing else admitted, stays
-/// small. Demand is the sum over generations of what each holds and may still grow to, given how far it has come.
+/// The production policy. Keeps small the probability that memory demand exceeds the capacity at any forecast horizon,
+/// assuming that nothing else is admitted. Demand is the sum over all generations of the tokens that each holds and may
+/// still grow to, given the tokens that it has produced.
 class ForecastAdmission {
 public:
     explicit ForecastAdmission(PolicyConstants const& constants)
@@ -36,20 +37,20 @@
         forecast_demand(tables, engine);
         auto demand = engine.demand;
         add_demand(demand, tables.forecasts.curve(generation.forecast), generation, 0);
-        auto room = engine.capacity * (1 - this->constants.reserve_share);
-        double tightest = 0;
+        auto usable_capacity = engine.capacity * (1 - this->constants.reserve_share);
+        double highest = 0;
         for (size_t i = 0; i < forecast_horizons.size(); ++i) {
             auto needed = demand.mean[i] + tables.safety_deviations * std::sqrt(demand.variance[i]);
-            tightest = std::max(tightest, needed / room);
+            highest = std::max(highest, needed / usable_capacity);
         }
-        return tightest;
+        return highest;
     }
 
 private:
     PolicyConstants const& constants;
 };
 
-/// Baseline: reserves the prompt and the largest output that the request allows.
+/// Baseline: reserves memory for the prompt and the maximum output of the request.
 class MaximumReservation {
 public:
     double memory_utilisation(Tables& tables, EngineRow& engine, GenerationRow const& generation)
@@ -63,7 +64,8 @@
     }
 };
 
-/// Baseline: reserves the prompt and what the output has come to, and leaves the rest to the engine's preemption.
+/// Baseline: reserves memory for the prompt and the tokens produced so far, and relies on the engine's preemption for
+/// further growth.
 class PromptOnlyReservation {
 public:
     double memory_utilisation(Tables& tables, EngineRow& engine, GenerationRow const& generation)
--- a/Libraries/LibScheduling/EngineChooser.h
+++ b/Libraries/LibScheduling/EngineChooser.h
@@ -15,8 +15,8 @@
 
 namespace Scheduling {
 
-/// Chooses the engine for a generation: among those with room, the one where it and the others there fare best by the
-/// route's weights.
+/// Chooses the engine for a generation: the engine with enough free memory whose placement cost is lowest by the
+/// weights of the route.
 template<AdmissionPolicy Admission>
 class EngineChooser {
 public:
@@ -27,9 +27,10 @@
     {
     }
 
-    /// Nothing when no engine has room. `reason` is for the operators.
+    /// Returns nothing if no engine has the capacity. `reason` is an explanation for the operators.
     [[nodiscard]] std::optional<EngineIndex> choose(GenerationRow const&, std::string& reason);
-    /// Lets the engine that will soonest have room for a request drain for it, until drop_reservations().
+    /// Reserves the eligible engine with the lowest memory utilisation until drop_reservations(). It accepts nothing
+    /// else, so that it frees memory for this request.
     void reserve_for(GenerationRow const&);
     void drop_reservations()
     {
@@ -45,7 +46,8 @@
 
     [[nodiscard]] bool is_eligible(EngineRow const&, GenerationRow const&) const;
     [[nodiscard]] std::vector<Candidate> engines_with_capacity(GenerationRow const&);
-    /// Keeps the roomiest engine of a loaded pool for requests that need much room at once.
+    /// Removes the least loaded engine of a busy pool from the candidates of a small request, to keep it for large
+    /// ones.
     void spare_least_loaded(std::vector<Candidate>&, GenerationRow const&) const;
     [[nodiscard]] double placement_cost(EngineRow const&, GenerationRow const&, double memory_utilisation) const;
 
@@ -62,7 +64,7 @@
     auto own_prefill = is_cached ? 0 : generation.prompt;
     auto stall = (engine.prefill_backlog + own_prefill) * this->constants.prefill_seconds_per_token;
     auto gap = static_cast<double>(engine.generations.size()) * this->constants.batch_seconds_per_generation;
-    // Tightness has no unit; scaled so that a full engine weighs like a stall of this many seconds.
+    // Memory utilisation has no unit. It is scaled so that a full engine costs as much as a stall of this many seconds.
     constexpr double seconds_when_full = 0.05;
     return generation.weights.stall * stall + generation.weights.token_gap * gap
         + generation.weights.preemption * memory_utilisation * seconds_when_full;
@@ -79,14 +81,14 @@
 void EngineChooser<Admission>::reserve_for(GenerationRow const& generation)
 {
     EngineRow* best = nullptr;
-    auto least = std::numeric_limits<double>::infinity();
+    auto lowest = std::numeric_limits<double>::infinity();
     for (auto& engine : this->tables.engines) {
         if (!this->is_eligible(engine, generation))
             continue;
         auto memory_utilisation = this->admission.memory_utilisation(this->tables, engine, generation);
-        if (memory_utilisation < least) {
+        if (memory_utilisation < lowest) {
             best = &engine;
-            least = memory_utilisation;
+            lowest = memory_utilisation;
         }
     }
     if (best)
@@ -103,7 +105,7 @@
         if (!this->is_eligible(engine, generation))
             continue;
         auto memory_utilisation = this->admission.memory_utilisation(this->tables, engine, generation);
-        // An empty engine takes what it is given: nothing will make more room there.
+        // An empty engine accepts any generation, since waiting cannot free more memory there.
         if (memory_utilisation <= 1 || engine.generations.empty())
             candidates.push_back({ i, memory_utilisation });
     }
@@ -116,11 +118,11 @@
 {
     if (candidates.size() < 2)
         return;
-    auto roomiest = std::ranges::min_element(candidates, {}, &Candidate::memory_utilisation);
-    auto const& engine = this->tables.engines[roomiest->engine];
+    auto least_loaded = std::ranges::min_element(candidates, {}, &Candidate::memory_utilisation);
+    auto const& engine = this->tables.engines[least_loaded->engine];
     auto is_small = generation.prompt < engine.capacity * this->constants.large_share;
-    if (is_small && this->tables.last_large_request && roomiest->memory_utilisation > this->constants.spare_above)
-        candidates.erase(roomiest);
+    if (is_small && this->tables.last_large_request && least_loaded->memory_utilisation > this->constants.spare_above)
+        candidates.erase(least_loaded);
 }
 
 template<AdmissionPolicy Admission>
--- a/Libraries/LibScheduling/LengthForecast.cpp
+++ b/Libraries/LibScheduling/LengthForecast.cpp
@@ -10,14 +10,15 @@
 
 namespace Scheduling {
 
-// How many finished outputs a histogram remembers. A few hundred follow a shift of lengths within minutes at one
-// route's share of the load and still fix the tail; see docs/POLICY.md for what other sizes gave.
-static constexpr double histogram_memory = 400;
-// How many outputs of its own a route needs to outweigh its parent.
+// The number of finished outputs after which the weight of an old one has fallen to 1/e. A few hundred follow a shift
+// of the lengths within minutes at the share of the load of one route, and still determine the tail. docs/POLICY.md has
+// the results of other values.
+static constexpr double histogram_decay_length = 400;
+// The number of its own outputs with which a route outweighs its parent.
 static constexpr double prior_strength = 8;
-// The prior, for a model of which nothing is known yet: log-normal, half of the outputs longer than 100 tokens and one
-// in ten longer than 470. A constant share ending in each bin was tried first; its mean of several thousand tokens had
-// requests refused on a fresh pool that had room for them.
+// The prior for a model without data: log-normal, half of the outputs longer than 100 tokens and one in ten longer than
+// 470. A constant hazard in each bin has a mean of several thousand tokens; with it, a new pool refused requests that
+// it had the capacity for.
 static constexpr double prior_median = 100;
 static constexpr double prior_sigma = 1.2;
 static constexpr double max_hazard = 0.999;
@@ -40,15 +41,15 @@
 
 static auto const prior_hazards = make_prior_hazards();
 
-LengthHistogram::LengthHistogram(double memory)
-    : growth(std::exp(1 / memory))
+LengthHistogram::LengthHistogram(double decay_length)
+    : growth(std::exp(1 / decay_length))
 {
 }
 
 void LengthHistogram::finish(size_t bin)
 {
     this->finished[bin] += this->weight;
-    // Later outputs weigh more, instead of all earlier ones being scaled down at each step.
+    // Raises the weight of later outputs, which is cheaper than scaling down all earlier ones at each step.
     this->weight *= this->growth;
     if (this->weight > renormalise_above)
         this->renormalise();
@@ -66,7 +67,8 @@
 double LengthHistogram::hazard(size_t bin, double prior, double strength) const
 {
     auto finished_count = this->finished[bin] / this->weight;
-    // An output that entered long ago weighs less than its recent end; never let that make a certainty.
+    // An output that entered long ago weighs less than its recent end, so finished may exceed entered. The hazard must
+    // not reach 1 by this.
     auto entered_count = std::max(this->entered[bin] / this->weight, finished_count);
     auto hazard = (finished_count + strength * prior) / (entered_count + strength);
     return std::min(hazard, max_hazard);
@@ -111,19 +113,19 @@
 {
     auto& histogram = histograms[key];
     if (!histogram)
-        histogram = std::make_unique<LengthHistogram>(histogram_memory);
+        histogram = std::make_unique<LengthHistogram>(histogram_decay_length);
     return *histogram;
 }
 
 LengthForecasts::Index LengthForecasts::index_of(ForecastKey const& key)
 {
-    // Names hold no line breaks, so the joined key is unique.
+    // Names contain no line breaks, so the joined key is unique.
     auto organisation_key = key.organisation.value() + '\n' + key.model.value();
     auto leaf_key = organisation_key + '\n' + key.route.value();
     auto [entry, is_new] = this->index_of_key.try_emplace(leaf_key, static_cast<Index>(this->leaves.size()));
     if (is_new) {
         this->leaves.push_back(
-            { LengthHistogram(histogram_memory), &find_or_create(this->organisation_histograms, organisation_key),
+            { LengthHistogram(histogram_decay_length), &find_or_create(this->organisation_histograms, organisation_key),
                 &find_or_create(this->model_histograms, key.model.value()), SurvivalCurve(prior_hazards), true });
         this->leaves.back().curve = SurvivalCurve(this->hazards_of(this->leaves.back()));
     }
@@ -159,9 +161,9 @@
 {
     std::array<double, LengthBins::count> hazards {};
     for (size_t bin = 0; bin < LengthBins::count; ++bin) {
-        auto of_model = leaf.model->hazard(bin, prior_hazards[bin], prior_strength);
-        auto of_organisation = leaf.organisation->hazard(bin, of_model, prior_strength);
-        hazards[bin] = leaf.own.hazard(bin, of_organisation, prior_strength);
+        auto model_hazard = leaf.model->hazard(bin, prior_hazards[bin], prior_strength);
+        auto organisation_hazard = leaf.organisation->hazard(bin, model_hazard, prior_strength);
+        hazards[bin] = leaf.own.hazard(bin, organisation_hazard, prior_strength);
     }
     return hazards;
 }
--- a/Libraries/LibScheduling/LengthForecast.h
+++ b/Libraries/LibScheduling/LengthForecast.h
@@ -15,7 +15,7 @@
 
 namespace Scheduling {
 
-/// Bins of output length: about one token wide at the start, then four to each doubling.
+/// Bins of output length: about one token wide at the start, then four bins per doubling.
 struct LengthBins {
     static constexpr size_t count = 56;
     static constexpr double offset = 8;
@@ -29,17 +29,17 @@
     }
 };
 
-/// How outputs ended, bin by bin: how many entered a bin and how many finished in it, newer ones weighing more. What
-/// was cancelled, refused or is still running counts where it got to and no further, so that such outputs do not pass
-/// for short ones (the estimator of Kaplan and Meier, 1958, over bins).
+/// Counts the outputs that entered and that finished in each bin, with more weight on newer ones. An output that was
+/// cancelled, refused or is still running is censored: it counts up to the bin that it reached and not as finished
+/// there, so that it is not mistaken for a short one (the Kaplan-Meier estimator, 1958, over bins).
 class LengthHistogram {
 public:
-    /// `memory` is how many finished outputs it takes for the weight of an old one to fall to 1/e.
-    explicit LengthHistogram(double memory);
+    /// The weight of an output falls to 1/e over the next `decay_length` finished outputs.
+    explicit LengthHistogram(double decay_length);
 
     void enter(size_t bin) { this->entered[bin] += this->weight; }
     void finish(size_t bin);
-    /// The chance to finish in `bin` after entering it, drawn towards `prior` while there is little data.
+    /// The probability that an output finishes in `bin` after entering it, shrunk towards `prior` while data is scarce.
     [[nodiscard]] double hazard(size_t bin, double prior, double prior_strength) const;
 
 private:
@@ -51,29 +51,29 @@
     std::array<double, LengthBins::count> finished {};
 };
 
-/// The distribution of output length as of one moment, for fast lookup.
+/// A snapshot of the distribution of output lengths, precomputed for fast lookup.
 class SurvivalCurve {
 public:
     explicit SurvivalCurve(std::array<double, LengthBins::count> const& hazards);
 
-    /// The chance that an output that has reached `produced` tokens reaches `produced + more`.
+    /// The probability that an output of `produced` tokens so far reaches `produced + more`.
     [[nodiscard]] double survival(double produced, double more) const
     {
         return std::exp(this->log_survival(produced + more) - this->log_survival(produced));
     }
-    /// Expected tokens still to come after `produced`.
+    /// The expected number of further tokens of an output that has `produced` tokens so far.
     [[nodiscard]] double expected_remaining(double produced) const;
 
 private:
     [[nodiscard]] double log_survival(double tokens) const;
 
-    // Logarithm of the survival at the lower edge of each bin, and how it falls per token within it.
+    // The logarithm of the survival at the lower edge of each bin, and its slope per token within the bin.
     std::array<double, LengthBins::count + 1> log_at_edge {};
     std::array<double, LengthBins::count> slope {};
     std::array<double, LengthBins::count> residual_at_edge {};
 };
 
-/// Which histograms an output counts in.
+/// Selects the histograms in which an output is counted.
 struct ForecastKey {
     OrganisationId organisation;
     RouteName route;
@@ -81,19 +81,19 @@
     bool operator==(ForecastKey const&) const = default;
 };
 
-/// Forecasts of output length per organisation and route. A route with little data is drawn towards its
-/// organisation's outputs on the model, those towards the model's, and those towards a fixed prior.
+/// Forecasts of output length per organisation and route. The estimate of a route with little data is shrunk towards
+/// that of its organisation on the same model, this one towards that of the model, and this one towards a fixed prior.
 class LengthForecasts {
 public:
     using Index = u32;
 
-    /// The index of `key`, made at first use.
+    /// Returns the index of `key`, which is created at first use.
     Index index_of(ForecastKey const& key);
-    /// The output counted by `index` went on from bin `from` (exclusive) to bin `to`.
+    /// Records that an output of `index` grew from bin `from` (exclusive) to bin `to`.
     void advance(Index index, size_t from, size_t to);
-    /// An output starts: it enters the first bin.
+    /// Records the start of an output: it enters the first bin.
     void start(Index index) { this->enter(index, 0); }
-    /// It finished by itself after `tokens`; advance() must have brought it to that bin.
+    /// Records that an output completed at `tokens`. advance() must have moved it to that bin before.
     void finish(Index index, double tokens);
 
     [[nodiscard]] SurvivalCurve const& curve(Index index) const { return this->leaves[index].curve; }
--- a/Libraries/LibScheduling/PoolScheduler.h
+++ b/Libraries/LibScheduling/PoolScheduler.h
@@ -15,8 +15,8 @@
 
 namespace Scheduling {
 
-/// The decisions for one pool: which generation goes to which engine, when, and what is refused. Time comes in as an
-/// argument, and what is to be done goes out as actions, so that the daemon and the bench run the same code.
+/// Decides for one pool which generation is placed on which engine, when, and which requests are refused. Time is an
+/// argument and decisions are returned as actions, so that the daemon and the bench run the same code.
 template<AdmissionPolicy Admission>
 class PoolScheduler final : public PoolState {
 public:
@@ -26,14 +26,15 @@
     {
     }
 
-    /// Runs the systems and hands over what is to be done.
+    /// Runs all systems and returns the resulting actions.
     std::vector<Action> tick(Instant now);
-    /// Places what fits now, without refreshing forecasts: for the moment between ticks when something came or went.
+    /// Places the requests that fit now without refreshing the forecasts. For arrivals and completions between two
+    /// ticks.
     std::vector<Action> admit(Instant now);
 
 private:
     void run_admission(Instant now);
-    /// Places the first of an organisation's foremost requests that fits somewhere.
+    /// Places the first request that fits an engine, of the first few in the queue of an organisation.
     bool place_one_of(OrganisationIndex, Instant now);
 
     EngineChooser<Admission> chooser;
@@ -52,7 +53,7 @@
             this->place(index, *engine, std::move(reason), now);
             return true;
         }
-        // Others may pass a request that does not fit; after a while one engine is left to drain for it.
+        // Others may bypass a request that does not fit. After a while, one engine is reserved for it.
         auto const& generation = this->tables.generations[index];
         if (this->has_waited_long(generation, now)) {
             if (!this->constants.reserves_engine)
@@ -92,7 +93,7 @@
 template<AdmissionPolicy Admission>
 std::vector<Action> PoolScheduler<Admission>::tick(Instant now)
 {
-    constexpr size_t kept_usage_samples = 128;
+    constexpr size_t max_usage_samples = 128;
     advance_progress(this->tables, now);
     expire_engines(this->tables, this->constants, now);
     for (auto& engine : this->tables.engines) {
@@ -100,7 +101,7 @@
         for (auto index : engine.generations)
             usage += this->tables.generations[index].prompt + this->tables.generations[index].produced;
         engine.usage_history.emplace_back(now, usage);
-        if (engine.usage_history.size() > kept_usage_samples)
+        if (engine.usage_history.size() > max_usage_samples)
             engine.usage_history.pop_front();
     }
     auto& last_large = this->tables.last_large_request;
--- a/Libraries/LibScheduling/PoolState.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -39,7 +39,7 @@
         detach_from_engine(generation);
         remove_generation(this->tables, generation);
     }
-    // The last row takes the place of the one removed.
+    // Moves the last row into the place of the removed one.
     auto last = static_cast<EngineIndex>(this->tables.engines.size() - 1);
     this->tables.engine_of_id.erase(found);
     if (index != last) {
@@ -64,10 +64,10 @@
         return true;
     if (request.maximum_rate <= 0)
         return false;
-    // A token bucket that holds one second's worth, and at least one request.
+    // A token bucket with a capacity of one second's worth of requests, but at least one.
     auto burst = std::max(request.maximum_rate, 1.0);
-    auto earned = AK::to_seconds(now - organisation.rate_updated) * request.maximum_rate;
-    organisation.rate_allowance = std::min(burst, organisation.rate_allowance + earned);
+    auto refill = AK::to_seconds(now - organisation.rate_updated) * request.maximum_rate;
+    organisation.rate_allowance = std::min(burst, organisation.rate_allowance + refill);
     organisation.rate_updated = now;
     if (organisation.rate_allowance < 1)
         return true;
@@ -88,16 +88,16 @@
 
 void PoolState::raise_virtual_time(OrganisationRow& organisation)
 {
-    // An organisation that was away does not save up service: it starts level with the least served one that waits.
+    // An idle organisation must not accumulate credit: it starts at the lowest virtual time of the active ones.
     if (!organisation.queue.empty() || organisation.running > 0)
         return;
-    auto least = std::numeric_limits<double>::infinity();
+    auto lowest = std::numeric_limits<double>::infinity();
     for (auto const& other : this->tables.organisations) {
         if (&other != &organisation && (!other.queue.empty() || other.running > 0))
-            least = std::min(least, other.virtual_time);
+            lowest = std::min(lowest, other.virtual_time);
     }
-    if (std::isfinite(least))
-        organisation.virtual_time = std::max(organisation.virtual_time, least);
+    if (std::isfinite(lowest))
+        organisation.virtual_time = std::max(organisation.virtual_time, lowest);
 }
 
 bool PoolState::handle_duplicate(SubmitRequest const& request, GenerationIndex known)
@@ -105,7 +105,7 @@
     auto const& generation = this->tables.generations[known];
     if (request.attempt > generation.attempt)
         return false;
-    // The answer to this very attempt may have been lost; an older attempt needs none.
+    // The response to this attempt may have been lost, so it is sent again. An older attempt needs no response.
     if (request.attempt == generation.attempt && generation.state == GenerationState::Dispatched) {
         auto const& engine = this->tables.engines[generation.engine];
         this->tables.actions.push_back(PlaceAction { generation.id, generation.attempt, engine.id, engine.address,
@@ -122,8 +122,8 @@
         this->finished(
             request.generation, this->tables.generations[*known].attempt, EndReason::NotStarted, TokenCount(0), now);
     }
-    auto organisation_number = organisation_index(this->tables, request.forecast_key.organisation);
-    auto& organisation = this->tables.organisations[organisation_number];
+    auto organisation_position = organisation_index(this->tables, request.forecast_key.organisation);
+    auto& organisation = this->tables.organisations[organisation_position];
     organisation.weight = request.organisation_weight > 0 ? request.organisation_weight : 1;
     if (std::ranges::none_of(this->tables.engines, may_soon_accept_work)) {
         this->refuse_new(request,
@@ -144,7 +144,7 @@
     GenerationRow row;
     row.id = request.generation;
     row.attempt = request.attempt;
-    row.organisation = organisation_number;
+    row.organisation = organisation_position;
     row.forecast = this->tables.forecasts.index_of(request.forecast_key);
     row.prompt = static_cast<double>(request.prompt.value());
     row.maximum_output = static_cast<double>(request.maximum_output.value());
@@ -155,7 +155,7 @@
     row.excluded_engines = request.excluded_engines;
     row.charged = expected_cost(this->tables, row, mean_step_seconds(this->tables));
 
-    row.estimated_wait = estimated_wait(this->tables, organisation_number, row.charged);
+    row.estimated_wait = estimated_wait(this->tables, organisation_position, row.charged);
     auto wait = corrected_wait(this->tables, row.estimated_wait);
     auto max_wait = AK::from_seconds(AK::to_seconds(request.deadline) * this->constants.refusal_share);
     if (this->constants.refuses_by_forecast && wait > max_wait) {
@@ -247,23 +247,24 @@
     if (!engine)
         return;
     if (engine->report && report.steps > engine->report->steps) {
-        auto between = (now - report.age) - (engine->report_received - engine->report->age);
-        auto cadence = AK::to_seconds(between) / (report.steps - engine->report->steps);
-        // An engine that was idle takes no steps: a cadence of seconds says nothing about decoding.
-        constexpr double slowest_cadence = 1;
-        if (cadence > 0 && cadence < slowest_cadence)
-            engine->step_seconds += (cadence - engine->step_seconds) / 2;
+        auto interval = (now - report.age) - (engine->report_received - engine->report->age);
+        auto step_seconds = AK::to_seconds(interval) / (report.steps - engine->report->steps);
+        // An idle engine runs no steps, so an average of seconds per step is not the time of a decoding step.
+        constexpr double max_step_seconds = 1;
+        if (step_seconds > 0 && step_seconds < max_step_seconds)
+            engine->step_seconds += (step_seconds - engine->step_seconds) / 2;
     }
     if (engine->report && report.preemptions > engine->report->preemptions)
         adjust_safety(this->tables, this->constants, report.preemptions - engine->report->preemptions, 0, now);
     auto measured_at = now - report.age;
-    auto believed = 0.0;
+    auto estimated_tokens = 0.0;
     for (auto const& [at, tokens] : engine->usage_history) {
         if (at <= measured_at)
-            believed = tokens;
+            estimated_tokens = tokens;
     }
-    // A tenth of slack: partly filled blocks, and progress that is extrapolated, are not another's work.
-    engine->foreign_tokens = std::max(report.used_tokens - believed * 1.1 - engine->capacity * 0.05, 0.0);
+    // The tolerance of a tenth covers partly filled blocks and extrapolated progress, which are not the work of another
+    // process.
+    engine->foreign_tokens = std::max(report.used_tokens - estimated_tokens * 1.1 - engine->capacity * 0.05, 0.0);
     engine->report = report;
     engine->report_received = now;
     engine->silent = false;
@@ -366,16 +367,16 @@
 
 int PoolState::priority_of(GenerationRow const& generation) const
 {
-    // When an engine runs out of memory it pauses the lowest priority first: routes that mind a pause least, and
-    // organisations that have had more than others.
+    // An engine that runs out of memory preempts the lowest priority first: routes that weigh pauses least, and
+    // organisations that have received more service than others.
     auto weight = generation.weights.token_gap + generation.weights.preemption;
-    auto least = std::numeric_limits<double>::infinity();
+    auto lowest = std::numeric_limits<double>::infinity();
     for (auto const& organisation : this->tables.organisations) {
         if (organisation.running > 0 || !organisation.queue.empty())
-            least = std::min(least, normalised_service(organisation));
+            lowest = std::min(lowest, normalised_service(organisation));
     }
     auto const& organisation = this->tables.organisations[generation.organisation];
-    auto is_above_share = normalised_service(organisation) > least * 1.5;
+    auto is_above_share = normalised_service(organisation) > lowest * 1.5;
     return static_cast<int>(std::lround(weight * 10)) - (is_above_share ? 5 : 0);
 }
 
--- a/Libraries/LibScheduling/PoolState.h
+++ b/Libraries/LibScheduling/PoolState.h
@@ -30,7 +30,7 @@
     std::vector<EngineId> excluded_engines;
 };
 
-/// A generation that runs already, as told by its gateway to a new owner of the pool.
+/// A running generation, as its gateway reports it to a new owner of the pool.
 struct RunningGeneration {
     GenerationId generation;
     AttemptNumber attempt;
@@ -43,40 +43,41 @@
 
 enum class EndReason : u8 {
     Completed,
-    /// Cancelled or failed: how long it would have become is not known.
+    /// Cancelled or failed, so its full length is unknown.
     Censored,
-    /// The engine turned it away: it never ran.
+    /// Rejected by the engine; it never ran.
     NotStarted,
 };
 
-/// What one pool has heard and done: engines, generations and organisations as they come, change and go. Admission is
-/// not decided here; PoolScheduler does that on the same tables.
+/// Maintains the tables of one pool: applies reports and requests to its engines, generations and organisations.
+/// PoolScheduler decides admission on the same tables.
 class PoolState {
 public:
     PoolState(PoolState const&) = delete;
     PoolState& operator=(PoolState const&) = delete;
 
     void put_engine(EngineId const& id, Address const& address, double capacity, Instant now);
-    /// Forgets an engine. Its generations are counted no more; their gateways report what became of them.
+    /// Removes an engine with its generations. Their gateways report how they ended.
     void remove_engine(EngineId const& id);
     void set_draining(EngineId const& id, bool draining);
 
     void submit(SubmitRequest const&, Instant now);
-    /// The first token of `generation` has reached its gateway.
+    /// Records that the first token of a generation has reached its gateway.
     void first_token(GenerationId const&, Instant now);
     void finished(GenerationId const&, AttemptNumber, EndReason, TokenCount output, Instant now);
     void load_report(EngineId const&, LoadReport const&, Instant now);
-    /// Takes it that the engines are there until the reports that are being asked for say more: for a pool of which no
-    /// reports were asked for a while.
+    /// Assumes that all engines are available until their next reports arrive. For a pool whose engines have not been
+    /// polled for a while.
     void expect_reports(Instant now);
     void prefix_cached(EngineId const&, u64 prefix_hash, bool is_present);
-    /// Forgets what is believed of an engine's prefix cache, because events of it were lost.
+    /// Clears the known prefixes of an engine after events of its cache were lost.
     void clear_cached_prefixes(EngineId const&);
     void rebuild(RunningGeneration const&, Instant now);
 
     [[nodiscard]] bool knows(GenerationId const&) const;
     [[nodiscard]] bool is_queued(GenerationId const&) const;
-    /// Generations believed to be on the engine since before `placed_before` that it does not list.
+    /// Returns the generations that were placed on the engine before `placed_before` and that its list does not
+    /// contain.
     [[nodiscard]] std::vector<std::pair<GenerationId, AttemptNumber>> find_unlisted_generations(
         EngineId const&, std::set<GenerationId> const& listed, Instant placed_before) const;
 
@@ -90,11 +91,11 @@
     }
     ~PoolState() = default;
 
-    /// Whose turn it is among the organisations with a queue that were not passed over.
+    /// Returns the organisation to serve next, of those with a queue that are not skipped.
     [[nodiscard]] std::optional<OrganisationIndex> next_organisation(std::vector<bool> const& skipped) const;
-    /// Whether a request has waited so long that others may no longer pass it.
+    /// Whether a request has waited so long that others may no longer bypass it.
     [[nodiscard]] bool has_waited_long(GenerationRow const&, Instant now) const;
-    /// Books a queued generation onto an engine and adds the action.
+    /// Assigns a queued generation to an engine and adds the action.
     void place(GenerationIndex, EngineIndex, std::string reason, Instant now);
 
     PolicyConstants const& constants;
@@ -103,9 +104,9 @@
 private:
     [[nodiscard]] bool is_over_limits(SubmitRequest const&, OrganisationRow&, Instant now);
     void refuse_new(SubmitRequest const&, Error);
-    /// Whether a prompt takes much of an engine at once.
+    /// Whether a prompt takes at least the large share of an engine.
     [[nodiscard]] bool is_large(double prompt) const;
-    /// Whether a request for a generation already known needs nothing more than perhaps the same answer again.
+    /// Handles a request for a known generation. Returns false if it is a newer attempt, which is submitted anew.
     [[nodiscard]] bool handle_duplicate(SubmitRequest const&, GenerationIndex known);
     void enqueue(GenerationIndex);
     [[nodiscard]] int priority_of(GenerationRow const&) const;
--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -12,14 +12,14 @@
 
 static constexpr Duration min_retry_after = 1s;
 static constexpr Duration max_retry_after = 60s;
-// Memory is never full on average: prompts do not fit exactly and a margin is kept.
+// Memory is never full on average, since prompts do not fit exactly and a safety margin stays free.
 static constexpr double usable_memory_share = 0.8;
 
 bool may_soon_accept_work(EngineRow const& engine) { return !engine.draining && !engine.silent; }
 
 bool accepts_new_work(EngineRow const& engine)
 {
-    // Before its first report nothing is known of what others have placed on it.
+    // Before the first report, work that other processes placed on the engine is unknown.
     return may_soon_accept_work(engine) && engine.report;
 }
 
@@ -28,7 +28,7 @@
     if (generation.state != GenerationState::Decoding)
         return;
     auto produced = generation.produced_before + engine_steps - generation.steps_at_first_token;
-    // A generation cannot pass its maximum; one that seems to is about to finish.
+    // A generation cannot exceed its maximum. If the extrapolation does, it is about to finish.
     generation.produced = std::clamp(produced, generation.produced, std::max(generation.maximum_output - 1, 1.0));
     auto bin = LengthBins::index(generation.produced);
     if (bin > generation.bin) {
@@ -64,23 +64,22 @@
         tables.safety_deviations + constants.safety_gain * change, constants.min_safety, constants.max_safety);
 }
 
-Duration corrected_wait(Tables const& tables, Duration reckoned)
+Duration corrected_wait(Tables const& tables, Duration estimated)
 {
-    return AK::from_seconds(AK::to_seconds(reckoned) * tables.wait_correction);
+    return AK::from_seconds(AK::to_seconds(estimated) * tables.wait_correction);
 }
 
 void update_wait_correction(Tables& tables, GenerationRow const& generation, Instant now)
 {
-    constexpr Duration shortest_telling_wait = 100ms;
+    constexpr Duration min_meaningful_wait = 100ms;
     constexpr double learning_rate = 0.02;
-    constexpr double smallest_correction = 0.5;
-    constexpr double largest_correction = 10;
-    if (generation.estimated_wait < shortest_telling_wait)
+    constexpr double min_correction = 0.5;
+    constexpr double max_correction = 10;
+    if (generation.estimated_wait < min_meaningful_wait)
         return;
     auto ratio = AK::to_seconds(now - generation.arrived) / AK::to_seconds(generation.estimated_wait);
-    auto moved
-        = tables.wait_correction + learning_rate * (std::min(ratio, largest_correction) - tables.wait_correction);
-    tables.wait_correction = std::max(moved, smallest_correction);
+    auto updated = tables.wait_correction + learning_rate * (std::min(ratio, max_correction) - tables.wait_correction);
+    tables.wait_correction = std::max(updated, min_correction);
 }
 
 void dequeue(Tables& tables, GenerationIndex index)
@@ -193,9 +192,9 @@
     for (auto const& other : tables.organisations) {
         if (&other == &own || other.queue.empty())
             continue;
-        // What the other may be served before its virtual time passes the level at which this request's turn comes.
-        auto before_own_turn = std::max(own_service - normalised_service(other), 0.0) * other.weight;
-        ahead += std::min(other.queued_cost, before_own_turn);
+        // The service that the other may receive before its virtual time exceeds that at which this request is next.
+        auto served_before = std::max(own_service - normalised_service(other), 0.0) * other.weight;
+        ahead += std::min(other.queued_cost, served_before);
     }
     return AK::from_seconds(ahead / capacity);
 }
--- a/Libraries/LibScheduling/Tables.h
+++ b/Libraries/LibScheduling/Tables.h
@@ -18,15 +18,15 @@
 #include <variant>
 #include <vector>
 
-/// The entities of one pool, that is of the engines of one failure domain that serve one model, as plain rows. The
-/// systems in this library read and change them on each tick; nothing else does.
+/// The entities of one pool as plain rows. A pool consists of the engines of one failure domain that serve one model.
+/// Only the systems in this library read and change the rows, on each tick.
 namespace Scheduling {
 
 using EngineIndex = u32;
 using GenerationIndex = u32;
 using OrganisationIndex = u32;
 
-/// Weights of the three measures, normalised to a sum of one.
+/// Weights of the three quality measures, normalised to a sum of one.
 struct MeasureWeights {
     double stall { 1.0 / 3 };
     double token_gap { 1.0 / 3 };
@@ -35,7 +35,7 @@
 
 enum class GenerationState : u8 {
     Queued,
-    /// Sent to an engine; the first token is not out yet.
+    /// Sent to an engine, without a first token yet.
     Dispatched,
     Decoding,
 };
@@ -53,12 +53,12 @@
     MeasureWeights weights;
     Instant arrived;
     Instant deadline;
-    /// The wait reckoned on arrival, without the correction.
+    /// The estimate of the wait on arrival, without the correction.
     Duration estimated_wait { 0 };
     Instant dispatched_at;
-    /// Position of the engine's step count when the first token came out.
+    /// Step count of the engine at the first token.
     double steps_at_first_token { 0 };
-    /// Tokens it had when this process learnt of it.
+    /// Tokens it had produced when this process first recorded it.
     double produced_before { 0 };
     double produced { 0 };
     size_t bin { 0 };
@@ -67,9 +67,10 @@
     std::vector<EngineId> excluded_engines;
 };
 
-/// Memory an engine is expected to need, in tokens, so many steps from now.
+/// The horizons of demand forecasts, in steps from now.
 static constexpr std::array<double, 10> forecast_horizons { 4, 16, 40, 88, 184, 376, 760, 1528, 3064, 6136 };
 
+/// Expected memory demand of an engine at each horizon, in tokens.
 struct DemandForecast {
     std::array<double, forecast_horizons.size()> mean {};
     std::array<double, forecast_horizons.size()> variance {};
@@ -83,7 +84,7 @@
     double steps { 0 };
     /// Preemptions since the engine started.
     double preemptions { 0 };
-    /// How old the figures were when they arrived.
+    /// Age of the figures on arrival.
     Duration age { 0 };
 };
 
@@ -91,26 +92,26 @@
     EngineId id;
     Address address;
     double capacity { 0 };
-    /// Told by an operator or by the engine to take nothing new.
+    /// An operator or the engine itself ordered that it takes no new work.
     bool draining { false };
-    /// Nothing has been heard of it for too long.
+    /// No report arrived within the silence limit.
     bool silent { false };
-    /// Left to drain for a request that does not fit anywhere, during one run of admission.
+    /// Reserved during one run of admission for a request that fits no engine.
     bool is_reserved { false };
     std::optional<LoadReport> report;
     Instant report_received;
     std::vector<GenerationIndex> generations;
     DemandForecast demand;
     bool demand_is_stale { true };
-    /// Steps done, extrapolated at the current cadence.
+    /// Completed steps, extrapolated at the current step time.
     double steps { 0 };
     Instant steps_at;
     double step_seconds { 0.025 };
-    /// Prompt tokens of dispatched generations whose first token is not out.
+    /// Prompt tokens of dispatched generations without a first token yet.
     double prefill_backlog { 0 };
-    /// Memory in use that this process did not place, from the last report.
+    /// Tokens in use by work that this process did not place, from the last report.
     double foreign_tokens { 0 };
-    /// What this process believed to be in use at recent ticks, to hold a late report against.
+    /// Estimated tokens in use at recent ticks, to compare with a delayed report of that time.
     std::deque<std::pair<Instant, double>> usage_history;
     std::unordered_set<u64> cached_prefixes;
 };
@@ -120,19 +121,19 @@
     double weight { 1 };
     u32 maximum_concurrency { 0 };
     double maximum_rate { 0 };
-    /// Memory-seconds per weight received by generations that have ended.
+    /// Memory-seconds received by ended generations, divided by the weight.
     double virtual_time { 0 };
-    /// Memory-seconds that its running generations are expected to take.
+    /// Expected memory-seconds of its running generations.
     double outstanding { 0 };
     std::deque<GenerationIndex> queue;
-    /// Expected memory-seconds of what is queued.
+    /// Expected memory-seconds of its queued generations.
     double queued_cost { 0 };
     u32 running { 0 };
     double rate_allowance { 0 };
     Instant rate_updated;
 };
 
-/// What the scheduler wants done. The caller carries it out.
+/// A decision of the scheduler, which the caller executes.
 struct PlaceAction {
     GenerationId generation;
     AttemptNumber attempt;
@@ -160,13 +161,13 @@
     std::unordered_map<OrganisationId, OrganisationIndex> organisation_of_id;
     LengthForecasts forecasts;
     size_t queued_count { 0 };
-    /// Standard deviations kept free between expected demand and memory; follows the preemptions that are seen.
+    /// Safety margin between expected demand and memory, in standard deviations. Adapts to the observed preemptions.
     double safety_deviations { 1 };
-    /// What waits have been, as a multiple of what was reckoned from the queues alone.
+    /// Ratio of actual waits to the waits estimated from the queues alone, smoothed.
     double wait_correction { 1.5 };
-    /// When something last had to wait for memory.
+    /// When a request last had to wait for memory.
     std::optional<Instant> last_memory_shortage;
-    /// When a request last came that needs much of an engine at once.
+    /// When a large request last arrived.
     std::optional<Instant> last_large_request;
     std::vector<Action> actions;
 };
@@ -174,7 +175,7 @@
 OrganisationIndex organisation_index(Tables&, OrganisationId const&);
 GenerationIndex add_generation(Tables&, GenerationRow);
 void remove_generation(Tables&, GenerationIndex);
-/// Nothing when there is no such generation.
+/// Returns nothing if there is no such generation.
 std::optional<GenerationIndex> find_generation(Tables const&, GenerationId const&);
 EngineRow* find_engine(Tables&, EngineId const&);
 
