--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -100,11 +100,11 @@
 {
     std::vector<Cell> cells;
     for (auto const pattern : this->patterns)
-        for (auto const hosts_of_cell : this->hosts)
+        for (auto const host_count : this->hosts)
             for (auto const policy : this->policies)
                 for (auto const load : this->loads)
                     for (u32 seed = 1; seed <= this->seeds; ++seed)
-                        cells.push_back({ { policy, hosts_of_cell, this->extra_update_delay, seed }, pattern, load });
+                        cells.push_back({ { policy, host_count, this->extra_update_delay, seed }, pattern, load });
     return cells;
 }
 
@@ -192,15 +192,15 @@
 
 namespace {
 
-    /// The sum of all seeds of one line of the table.
-    struct Line {
+    /// One row of the table: the sum over all seeds.
+    struct TableRow {
         Cell cell;
         ModelPool::Outcome outcome;
-        [[nodiscard]] bool is_of(Cell const& other) const
+        [[nodiscard]] bool matches(Cell const& other) const
         {
-            return this->is_of_block(other) && this->cell.load == other.load;
+            return this->is_in_same_block(other) && this->cell.load == other.load;
         }
-        [[nodiscard]] bool is_of_block(Cell const& other) const
+        [[nodiscard]] bool is_in_same_block(Cell const& other) const
         {
             return this->cell.shape.policy == other.shape.policy && this->cell.pattern == other.pattern
                 && this->cell.shape.hosts == other.shape.hosts;
@@ -210,28 +210,28 @@
 
 }
 
-/// Cells of the same line stand one behind the other.
-static std::vector<Line> sum_over_seeds(std::vector<CellResult> const& results)
+/// Expects the cells of one row to be adjacent.
+static std::vector<TableRow> sum_over_seeds(std::vector<CellResult> const& results)
 {
-    std::vector<Line> lines;
+    std::vector<TableRow> rows;
     for (auto const& [cell, outcome] : results) {
-        if (lines.empty() || !lines.back().is_of(cell))
-            lines.push_back({ cell, {} });
-        lines.back().outcome += outcome;
+        if (rows.empty() || !rows.back().matches(cell))
+            rows.push_back({ cell, {} });
+        rows.back().outcome += outcome;
     }
-    return lines;
+    return rows;
 }
 
 std::string to_markdown(std::vector<CellResult> const& results)
 {
     std::ostringstream out;
     out << "| pattern | hosts | way | load | in time | late | refused |\n|---|---|---|---|---|---|---|\n";
-    for (auto const& line : sum_over_seeds(results)) {
-        auto const& outcome = line.outcome;
-        out << "| " << to_string(line.cell.pattern) << " | " << line.cell.shape.hosts << " | "
-            << to_string(line.cell.shape.policy) << " | " << line.cell.load << " | " << std::fixed
-            << std::setprecision(3) << line.share(outcome.in_time) << " | " << line.share(outcome.late) << " | "
-            << line.share(outcome.refused) << " |\n"
+    for (auto const& row : sum_over_seeds(results)) {
+        auto const& outcome = row.outcome;
+        out << "| " << to_string(row.cell.pattern) << " | " << row.cell.shape.hosts << " | "
+            << to_string(row.cell.shape.policy) << " | " << row.cell.load << " | " << std::fixed << std::setprecision(3)
+            << row.share(outcome.in_time) << " | " << row.share(outcome.late) << " | " << row.share(outcome.refused)
+            << " |\n"
             << std::defaultfloat << std::setprecision(6);
     }
     return out.str();
@@ -240,16 +240,15 @@
 std::string to_plot_data(std::vector<CellResult> const& results)
 {
     std::ostringstream out;
-    Line const* before = nullptr;
-    auto const lines = sum_over_seeds(results);
-    for (auto const& line : lines) {
-        if (!before || !before->is_of_block(line.cell)) {
-            out << (before ? "\n\n" : "") << '"' << to_string(line.cell.pattern) << ", " << line.cell.shape.hosts
-                << " hosts, " << to_string(line.cell.shape.policy) << "\"\n";
+    TableRow const* previous = nullptr;
+    auto const rows = sum_over_seeds(results);
+    for (auto const& row : rows) {
+        if (!previous || !previous->is_in_same_block(row.cell)) {
+            out << (previous ? "\n\n" : "") << '"' << to_string(row.cell.pattern) << ", " << row.cell.shape.hosts
+                << " hosts, " << to_string(row.cell.shape.policy) << "\"\n";
         }
-        out << line.cell.load << ' ' << line.share(line.outcome.in_time) << ' ' << line.share(line.outcome.refused)
-            << '\n';
-        before = &line;
+        out << row.cell.load << ' ' << row.share(row.outcome.in_time) << ' ' << row.share(row.outcome.refused) << '\n';
+        previous = &row;
     }
     return out.str();
 }
--- a/Libraries/LibOverloadModel/Experiment.h
+++ b/Libraries/LibOverloadModel/Experiment.h
@@ -18,21 +18,22 @@
 
 namespace OverloadModel {
 
-/// How the load comes over time.
+/// Course of the load over time.
 enum class Pattern : u8 {
-    /// The same all the time.
+    /// Constant load.
     Steady,
-    /// Seven seconds of it, in the middle of a load of 0.7; only who asks from two seconds after them on is counted.
+    /// Seven seconds of the load, before and after it a load of 0.7. Counts only requests from two seconds after the
+    /// burst on.
     AfterBurst,
-    /// A sixth of the engines ends four times, 3.3 s apart, and empty ones come.
+    /// Four times, 3.3 s apart, a sixth of the engines terminates and empty ones replace them.
     EnginesReplaced,
 };
 
-/// One pattern with one way of deciding, one size and one seed.
+/// One run: a pattern with one policy, one number of hosts, one load and one seed.
 struct Cell {
     ModelPool::Shape shape;
     Pattern pattern { Pattern::Steady };
-    /// Tokens held over time that callers ask for, in parts of what the engines have.
+    /// Requested tokens held over time, as a fraction of the capacity of the engines.
     double load { 1 };
 };
 
@@ -41,7 +42,7 @@
     ModelPool::Outcome outcome;
 };
 
-/// What is to be played: each way with each pattern, number of hosts, load and seed.
+/// An experiment combines each policy with each pattern, number of hosts, load and seed.
 struct Experiment {
     std::vector<ModelPool::Policy> policies;
     std::vector<Pattern> patterns;
@@ -50,23 +51,23 @@
     Duration extra_update_delay { 0 };
     u32 seeds { 1 };
 
-    /// Fails on keys and values that are not known, naming file, line and remedy.
+    /// Fails on unknown keys and values with a message that has the file, the line and a remedy.
     static Result<Experiment> read(Core::SettingsReader);
     [[nodiscard]] std::vector<Cell> cells() const;
 };
 
-/// Runs the cells on all processors. The results are in the order of the cells and do not depend on how many processors
-/// there are. `on_progress` is called from any thread, one at a time, with how many are done.
+/// Runs the cells on all processors. The results are in the order of the cells and do not depend on the number of
+/// processors. `on_progress` is called with the number of finished cells, from any thread but never concurrently.
 std::vector<CellResult> run_cells(std::vector<Cell> const&, std::function<void(size_t)> const& on_progress);
 
 std::string to_string(ModelPool::Policy);
 std::string to_string(Pattern);
-/// One line.
+/// Returns a single line.
 std::string to_json(CellResult const&);
 
-/// Shares of those that asked, over all seeds, a line for each way, pattern, size and load.
+/// Shares of all requests, over all seeds, with a row for each policy, pattern, number of hosts and load.
 std::string to_markdown(std::vector<CellResult> const&);
-/// Blocks for gnuplot, one for each way, pattern and size with a title: load, in time, refused.
+/// Titled blocks for gnuplot, one for each policy, pattern and number of hosts. Columns: load, in time, refused.
 std::string to_plot_data(std::vector<CellResult> const&);
 
 }
--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -16,31 +16,33 @@
 
 namespace OverloadModel {
 
-/// Engines of one service and the hosts before them, in virtual time, as far as admission goes. An engine takes
-/// generations in order of arrival as soon as their prompts fit, reads these one after another and makes tokens of all
-/// that run; how many a generation will make it does not know. When its memory is full, the newest one leaves it, waits
-/// before all others and is read anew. Hosts of a failure domain believe the same: what they place themselves a few
-/// milliseconds later, what others place by as much later as a fleet of that size takes. A caller that is refused comes
-/// back once, as told.
+/// Simulates in virtual time the admission of the hosts of a fleet and the engines of one service. An engine starts
+/// generations in order of arrival as soon as their prompts fit into its memory, prefills one prompt at a time and
+/// decodes all running generations. It does not know their output lengths. When its memory is full, it preempts the
+/// newest generation, which then waits before all others and is prefilled again. All hosts of a failure domain share
+/// one view of the load. It includes their own placements after a few milliseconds, and those of other domains after
+/// the delay that updates have in a fleet of that size. A refused caller retries once, after the time that it was
+/// given.
 class ModelPool {
 public:
     enum class Policy : u8 {
-        /// Each generation goes to the cheapest engine, however full.
+        /// Places each generation on the cheapest engine, however full that is.
         TakeAll,
+        /// Refuses generations as the admission of LibServing decides.
         Admission,
     };
     struct Shape {
         Policy policy { Policy::Admission };
         u32 hosts { 62 };
-        /// Beside what a fleet of that size takes to hear.
+        /// Delay of updates from other domains, in addition to the delay in a fleet of that size.
         Duration extra_update_delay { 0 };
         u32 seed { 1 };
     };
     struct Outcome {
         u32 requests { 0 };
         u32 in_time { 0 };
-        /// Had its first event too late, or a pause after it: what has to be read anew takes longer than a stream may
-        /// pause. Who has no event by then is neither this nor in time.
+        /// The first event came too late, or a pause followed it: a generation that has to be prefilled again always
+        /// pauses for longer than a stream may. A generation without an event is neither late nor in time.
         u32 late { 0 };
         u32 refused { 0 };
         Outcome& operator+=(Outcome const& other)
@@ -54,10 +56,11 @@
         [[nodiscard]] double share_in_time() const { return this->in_time / std::max(1.0, double(this->requests)); }
     };
 
-    /// The longest goal with the longest wait of a caller that is refused, and room for both.
+    /// Time after which all requests are settled: the longest goal, the longest wait before a retry, and a reserve.
     static constexpr Duration max_settling_time = 3s;
     static constexpr u32 engine_count = 60;
     static constexpr u32 domain_count = 3;
+    /// Memory of one engine, in tokens.
     static constexpr i64 memory = 21'878;
 
     explicit ModelPool(Shape shape)
@@ -78,8 +81,9 @@
         }
     }
 
-    /// Callers ask for `load` times as many tokens held over time as the engines have, for `span`. Answers what becomes
-    /// of those that asked first in it; they are settled once it has been played on for max_settling_time.
+    /// Runs for `span` with a demand of `load` times the capacity of the engines, in tokens held over time. Returns the
+    /// outcome of the requests that first arrived in this span. It is complete once the simulation has run for another
+    /// max_settling_time.
     std::shared_ptr<Outcome const> run(double load, Duration span)
     {
         auto outcome = std::make_shared<Outcome>();
@@ -93,10 +97,10 @@
         return outcome;
     }
 
-    /// An engine in each `each` ends with all that it has; empty ones come in their place at once.
-    void replace_engines(u32 each)
+    /// Terminates every `interval`-th engine with all its generations and puts an empty one in its place at once.
+    void replace_engines(u32 interval)
     {
-        for (u32 i = 0; i < engine_count; i += each) {
+        for (u32 i = 0; i < engine_count; i += interval) {
             this->engines[i] = {};
             ++this->engines[i].incarnation;
             for (auto& table : this->backend_tables)
@@ -126,7 +130,7 @@
     };
     struct Running {
         Waiting what;
-        /// Of its output.
+        /// Tokens of its output so far.
         i64 produced { 0 };
         bool has_begun { false };
         bool is_in_time { false };
@@ -136,7 +140,7 @@
         i64 used { 0 };
         bool is_prefilling { false };
         std::deque<Running> waiting;
-        /// By the order in which they began.
+        /// By the order in which they started to decode.
         std::map<u64, Running> running;
         u64 begun { 0 };
         u32 incarnation { 0 };
@@ -144,7 +148,8 @@
 
     static FailureDomainId domain_name(u32 number) { return FailureDomainId("hall-" + std::to_string(number)); }
 
-    /// Of the mix below, by the means of what it holds and for how long.
+    /// Capacity for the mix of draw_generation(), from the mean tokens that a request holds and the mean time it holds
+    /// them.
     static double requests_per_second_at_capacity()
     {
         constexpr double long_prompt = 3000;
@@ -165,7 +170,7 @@
         std::uniform_real_distribution<double> uniform(0, 1);
         Generation generation;
         if (uniform(this->random) < long_request_share) {
-            // Wide: half have under 300 tokens, and some have 1,756.
+            // A wide distribution: half have fewer than 300 tokens, and some have 1,756.
             std::lognormal_distribution<double> output(std::log(400.0), 1.34);
             std::lognormal_distribution<double> error(0, 0.8);
             generation.prompt = static_cast<i64>(3000 * (0.6 + 0.8 * uniform(this->random)));
@@ -181,18 +186,19 @@
         return generation;
     }
 
-    /// As hosts know it, which is all of it but what the network adds.
+    /// The delay that hosts assume for updates from other domains. It excludes additional delay in the network.
     [[nodiscard]] Duration expected_remote_delay() const
     {
-        // As hosts that speak for their domains tell: a millisecond more for each far host beyond twelve.
-        auto const far = i64(this->shape.hosts) * (domain_count - 1) / domain_count;
-        return local_delay + std::max<i64>(0, far - 12) * Duration(1ms);
+        // The pace at which the representatives of the domains forward updates: one more millisecond for each remote
+        // host beyond twelve.
+        auto const remote_hosts = i64(this->shape.hosts) * (domain_count - 1) / domain_count;
+        return local_delay + std::max<i64>(0, remote_hosts - 12) * Duration(1ms);
     }
     [[nodiscard]] Duration remote_delay() const
     {
         return this->expected_remote_delay() + this->shape.extra_update_delay;
     }
-    /// Of a domain's hosts in other domains, by their own pace.
+    /// Estimated number of placements by other domains that a host has no update of yet, from its own request rate.
     [[nodiscard]] double unseen_placements() const
     {
         return this->requests_per_second / domain_count * AK::to_seconds(this->expected_remote_delay());
@@ -251,7 +257,7 @@
         this->advance(number);
     }
 
-    /// The next one in the engine's queue is read as soon as its memory is there.
+    /// Starts to prefill the next generation in the queue of the engine once it fits into the memory.
     void advance(u32 number)
     {
         auto& engine = this->engines[number];
@@ -264,23 +270,23 @@
         engine.used += next.held();
         engine.is_prefilling = true;
         auto const reading = AK::from_seconds(double(next.held()) / prefill_tokens_per_second);
-        this->schedule_for(number, this->now + reading, [this, number, next] { this->begin(number, next); });
+        this->schedule_for(number, this->now + reading, [this, number, next] { this->start_decoding(number, next); });
     }
 
-    void begin(u32 number, Running read)
+    void start_decoding(u32 number, Running prefilled)
     {
         auto& engine = this->engines[number];
         engine.is_prefilling = false;
-        if (!std::exchange(read.has_begun, true))
-            read.is_in_time = this->first_event(number, read.what);
+        if (!std::exchange(prefilled.has_begun, true))
+            prefilled.is_in_time = this->emit_first_event(number, prefilled.what);
         auto const id = engine.begun++;
-        engine.running.emplace(id, read);
+        engine.running.emplace(id, prefilled);
         this->emit_events(number, id);
         this->advance(number);
     }
 
-    /// Whether it is in time.
-    bool first_event(u32 number, Waiting const& what)
+    /// Returns whether the event is in time.
+    bool emit_first_event(u32 number, Waiting const& what)
     {
         auto const& generation = what.generation;
         bool const is_late = this->now - generation.arrived_at > generation.goal;
@@ -298,7 +304,7 @@
             return;
         auto const left = running->second.what.generation.output - running->second.produced;
         if (left <= 0)
-            return this->ended(number, id);
+            return this->finish(number, id);
         auto const step = std::min(left, 20 * tokens_per_event);
         if (!this->preempt_until_free(number, id, step))
             return;
@@ -310,7 +316,7 @@
             [this, number, id] { this->emit_events(number, id); });
     }
 
-    /// Lets the newest ones leave until so many tokens more fit in; whether the one that needs them is still there.
+    /// Preempts the newest generations until `tokens` more fit. Returns whether generation `id` still runs.
     bool preempt_until_free(u32 number, u64 id, i64 tokens)
     {
         auto& engine = this->engines[number];
@@ -335,7 +341,7 @@
         ++paused.what.generation.outcome->late;
     }
 
-    void ended(u32 number, u64 id)
+    void finish(u32 number, u64 id)
     {
         auto& engine = this->engines[number];
         auto const ended = engine.running.extract(id).mapped();
@@ -347,7 +353,7 @@
         this->advance(number);
     }
 
-    /// What hosts of `domain` have done at an engine, as all come to believe it.
+    /// Applies a change of an engine's load, made by the hosts of `domain`, to the view of each domain after its delay.
     void broadcast_change(u32 number, u32 domain, std::function<void(Serving::EngineLoad&)> change)
     {
         for (u32 i = 0; i < domain_count; ++i) {
@@ -362,7 +368,7 @@
     {
         this->events.push({ at, this->scheduled++, std::move(action) });
     }
-    /// Not done once the engine has been replaced.
+    /// Skips the action if the engine has been replaced by then.
     void schedule_for(u32 number, Instant at, std::function<void()> action)
     {
         this->schedule(at, [this, number, incarnation = this->engines[number].incarnation, action = std::move(action)] {
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -30,8 +30,7 @@
     double bypass_share { 0.6 };
     /// An engine without a report for this long gets no new work.
     Duration silence_limit { 15s };
-    /// Seconds to prefill one prompt token, and seconds that one more generation adds to a step. Assumed, until
-    /// measured.
+    /// Estimated seconds to prefill one prompt token, and seconds that one more generation adds to a step.
     double prefill_seconds_per_token { 3e-5 };
     double batch_seconds_per_generation { 2e-4 };
     /// Requests whose expected wait exceeds this share of their deadline are refused on arrival.
--- a/Tests/LibOverloadModel/TestExperiment.cpp
+++ b/Tests/LibOverloadModel/TestExperiment.cpp
@@ -17,9 +17,9 @@
     return Experiment::read(reader.value());
 }
 
-SCENARIO("an experiment is read and checked as a whole")
+SCENARIO("an experiment is read from a file and validated")
 {
-    GIVEN("a good one")
+    GIVEN("a valid one")
     {
         auto const experiment = read("ways: [admission, take-all]\npatterns: [steady]\nhosts: [6]\nloads: [0.8, 1.3]\n"
                                      "seeds: 2\nbeliefs-late-by: 3s\n");
@@ -31,13 +31,13 @@
         CHECK(cells.back().shape.extra_update_delay == 3s);
         CHECK(cells.back().load == 1.3);
     }
-    GIVEN("keys and values that are not known")
+    GIVEN("unknown keys and values")
     {
         auto const experiment
             = read("ways: [admission, guess]\npatterns: [steady]\nhosts: [0]\nloads: [much]\nspeed: 3\n");
         REQUIRE_FALSE(experiment.has_value());
         auto const& message = experiment.error().message;
-        THEN("each is named with its line and what to write")
+        THEN("the message has the line and the remedy of each")
         {
             CHECK(message.find("overload.yaml:1: ways: \"guess\" is not known; write some of take-all, admission")
                 != std::string::npos);
@@ -46,7 +46,7 @@
             CHECK(message.find("overload.yaml:5: speed: is not a setting") != std::string::npos);
         }
     }
-    GIVEN("one that names no loads")
+    GIVEN("one without loads")
     {
         auto const experiment = read("ways: [admission]\npatterns: [steady]\nhosts: [6]\n");
         REQUIRE_FALSE(experiment.has_value());
@@ -60,7 +60,7 @@
     }
 }
 
-SCENARIO("an experiment gives the same results each time")
+SCENARIO("an experiment is deterministic")
 {
     auto const cells = read("ways: [take-all, admission]\npatterns: [steady, after-burst, engines-leave]\nhosts: [6]\n"
                             "loads: [2.0]\nseeds: 2\n")
@@ -77,7 +77,7 @@
     CHECK(std::ranges::count(first, '\n') == 12);
 }
 
-SCENARIO("the table adds up the seeds of a line")
+SCENARIO("each row of the table is the sum over all seeds")
 {
     Cell const first { { ModelPool::Policy::Admission, 62, 0s, 1 }, Pattern::Steady, 1.3 };
     auto second = first;
