--- a/Libraries/LibEngineModel/EngineModel.cpp
+++ b/Libraries/LibEngineModel/EngineModel.cpp
@@ -48,7 +48,7 @@
 
 void Engine::admit_waiting(std::vector<StepEvent>& events)
 {
-    // Preempted ones come first, since callers are reading them; then by priority, then by arrival.
+    // Preempted generations come first, since callers are already reading them, then by priority, then by arrival.
     std::ranges::stable_sort(this->waiting, [](Sequence const& left, Sequence const& right) {
         auto rank = [](Sequence const& sequence) {
             return std::tuple(sequence.produced == 0, -sequence.request.priority, sequence.arrival);
@@ -96,17 +96,17 @@
 {
     for (size_t i = 0; i < this->running.size();) {
         auto needed = this->blocks_for(this->running[i].request.prompt_tokens + this->running[i].produced + 1);
-        auto more = needed - this->running[i].blocks;
-        if (more > 0 && !this->evict_prefixes_for(more, events) && this->running.size() > 1) {
+        auto missing = needed - this->running[i].blocks;
+        if (missing > 0 && !this->evict_prefixes_for(missing, events) && this->running.size() > 1) {
             auto victim = this->victim_position();
             this->preempt(victim, events);
-            // Positions after the victim moved up; the same sequence is looked at again.
+            // Later positions have shifted down by one. The loop looks at the same sequence again.
             if (victim < i)
                 --i;
             continue;
         }
-        this->running[i].blocks += std::max<i64>(more, 0);
-        this->used_blocks += std::max<i64>(more, 0);
+        this->running[i].blocks += std::max<i64>(missing, 0);
+        this->used_blocks += std::max<i64>(missing, 0);
         ++i;
     }
 }
@@ -116,7 +116,7 @@
     auto budget = this->parameters.prefill_tokens_per_step;
     for (auto& sequence : this->running) {
         auto wanted = sequence.request.prompt_tokens + sequence.produced - sequence.computed;
-        // The last computed token is the one that decoding works on.
+        // The last token is computed by the decode itself.
         if (wanted <= 1 && sequence.produced > 0)
             continue;
         auto taken = std::min(budget, wanted);
@@ -173,7 +173,7 @@
 Duration Engine::step(std::vector<StepEvent>& events)
 {
     this->allocate_for_running(events);
-    // Nothing new in a step that had to preempt: it would only be the next victim.
+    // Admits nothing in a step that had to preempt, since a new generation would be the next victim.
     auto has_preempted
         = std::ranges::any_of(events, [](StepEvent const& event) { return event.kind == StepEventKind::Preempted; });
     if (!has_preempted)
--- a/Libraries/LibEngineModel/EngineModel.h
+++ b/Libraries/LibEngineModel/EngineModel.h
@@ -15,7 +15,7 @@
 
 namespace EngineModel {
 
-/// What a step of a modelled engine costs, and how much it holds.
+/// Capacity of a modelled engine and the cost of its steps.
 struct EngineParameters {
     i64 capacity_tokens { 24'000 };
     i64 block_tokens { 16 };
@@ -38,7 +38,7 @@
 enum class StepEventKind : u8 {
     Token,
     Finished,
-    /// Out of memory: its memory was freed, and it will be computed again before it goes on.
+    /// The engine ran out of memory and freed that of this generation, which has to be recomputed before it continues.
     Preempted,
     PrefixCached,
     PrefixEvicted,
@@ -47,7 +47,7 @@
 struct StepEvent {
     StepEventKind kind;
     u64 key { 0 };
-    /// For a token, its offset in the output.
+    /// For a token, its offset in the output. For the end and a preemption, the number of tokens produced.
     i64 offset { 0 };
 };
 
@@ -59,10 +59,10 @@
     u64 preemptions { 0 };
 };
 
-/// A continuously batching engine: each step every running generation decodes one token, new prompts are taken in by
-/// chunks, memory is held in blocks, and when a block is wanted and none is free the running generation of lowest
-/// priority, and among those the youngest, is preempted. Only memory and steps are modelled; time is what step()
-/// returns.
+/// An engine with continuous batching. In each step, every running generation decodes one token, and new prompts are
+/// prefilled in chunks. Memory is allocated in blocks. When no block is free, the engine preempts the running
+/// generation of the lowest priority, and the youngest among equals. Only memory and steps are modelled; step() returns
+/// the time that a step takes.
 class Engine {
 public:
     explicit Engine(EngineParameters parameters)
@@ -71,14 +71,14 @@
     }
 
     void start(StartRequest const&);
-    /// Says whether the generation was there.
+    /// Returns whether the engine had the generation.
     bool cancel(u64 key);
     [[nodiscard]] bool is_idle() const { return this->running.empty() && this->waiting.empty(); }
-    /// Runs one step, adds what happened to `events` and returns how long the step took.
+    /// Runs one step, appends its events to `events` and returns its duration.
     Duration step(std::vector<StepEvent>& events);
     [[nodiscard]] EngineLoad load() const;
     [[nodiscard]] EngineParameters const& settings() const { return this->parameters; }
-    /// Tokens produced so far by a generation that runs or waits here.
+    /// Returns the tokens produced so far by a running or waiting generation.
     [[nodiscard]] std::optional<i64> produced(u64 key) const;
 
 private:
@@ -86,7 +86,7 @@
         StartRequest request;
         u64 arrival { 0 };
         i64 produced { 0 };
-        // Tokens whose computation is done; decoding starts once all of prompt and produced are.
+        // Tokens that are computed. Decoding starts once the prompt and all produced tokens are.
         i64 computed { 0 };
         i64 blocks { 0 };
     };
@@ -96,6 +96,7 @@
         return (tokens + this->parameters.block_tokens - 1) / this->parameters.block_tokens;
     }
     [[nodiscard]] i64 free_blocks() const;
+    /// Evicts cached prefixes until `blocks` are free. Returns whether they are.
     bool evict_prefixes_for(i64 blocks, std::vector<StepEvent>& events);
     void admit_waiting(std::vector<StepEvent>& events);
     void allocate_for_running(std::vector<StepEvent>& events);
@@ -112,7 +113,7 @@
     i64 used_blocks { 0 };
     i64 cached_blocks { 0 };
     std::vector<Sequence> running;
-    // Preempted ones first, then by priority and arrival.
+    // Sorted by admit_waiting(): preempted generations first, then by priority and arrival.
     std::vector<Sequence> waiting;
     // Least recently used first.
     std::list<std::pair<u64, i64>> cached_prefixes;
--- a/Libraries/LibPolicyBench/Cells.cpp
+++ b/Libraries/LibPolicyBench/Cells.cpp
@@ -25,7 +25,7 @@
     PolicyConstants constants;
     constants.is_fair = false;
     constants.refuses_by_forecast = false;
-    // First come, first served: nothing passes the head of the queue.
+    // First come, first served: no request bypasses the head of the queue.
     constants.bypass_share = 0;
     constants.reserves_engine = false;
     constants.bypass_depth = 1;
@@ -76,7 +76,7 @@
     setter->second(constants, value);
 }
 
-/// "forecast:name=value:name=value" varies constants of a policy.
+/// Parses a policy with changed constants: "forecast:name=value:name=value".
 static std::pair<std::string, PolicyConstants> parse_variation(std::string const& policy)
 {
     std::istringstream parts(policy);
@@ -128,7 +128,7 @@
     for (auto& traffic : scenario.classes)
         traffic.deadline = 24h;
     auto requests = draw_requests(scenario, flood_rate, capacity_seed);
-    // In order of arrival, so that what is served has the same mix as what arrives.
+    // Serves in order of arrival, so that the served requests have the same mix as the arriving ones.
     auto make_first_come = [](TrueStates const& states) -> std::unique_ptr<Dispatcher> {
         return std::make_unique<PoolDispatcher<ClairvoyantAdmission>>(
             first_come_constants(), [&states](PolicyConstants const&) { return ClairvoyantAdmission(states); });
@@ -146,7 +146,7 @@
 
 std::vector<CellResult> run_cells(std::vector<Cell> const& cells)
 {
-    // Capacity belongs to the plain shape of a workload, so that a fault or a shift does not move the yardstick.
+    // Measures the capacity on the plain workload, so that faults and shifts do not change the unit of load.
     std::map<std::string, double> capacities;
     std::vector<std::string> shapes;
     for (auto const& cell : cells)
--- a/Libraries/LibPolicyBench/Cells.h
+++ b/Libraries/LibPolicyBench/Cells.h
@@ -12,7 +12,7 @@
 
 namespace PolicyBench {
 
-/// One policy on one scenario with one seed.
+/// One run: a policy on a scenario with a seed.
 struct Cell {
     std::string policy;
     Scenario scenario;
@@ -24,20 +24,20 @@
     Measures measures;
 };
 
-/// The names make_dispatcher() knows.
+/// The names that make_dispatcher() accepts.
 std::vector<std::string> const& policy_names();
-/// Aborts on a name that is not known.
+/// Aborts on an unknown name.
 MakeDispatcher make_dispatcher(std::string const& policy, u32 seed);
 
-/// Load 1: requests a second that are completed when there are always more, in order of arrival, by an admission that
-/// knows every length.
+/// Measures the rate that load 1 refers to: requests per second completed under permanent overload, in order of
+/// arrival, by clairvoyant admission.
 double measure_capacity(Scenario const&);
 
-/// Runs the cells on all processors. The results are in the order of the cells, and do not depend on how many
-/// processors there are.
+/// Runs the cells on all processors. The results are in the order of the cells and do not depend on the number of
+/// processors.
 std::vector<CellResult> run_cells(std::vector<Cell> const&);
 
-/// Seeds for choosing constants, and seeds for reporting. No seed is both.
+/// Seeds for tuning constants and seeds for reporting results. The two sets are disjoint.
 std::vector<u32> tuning_seeds(bool quick);
 std::vector<u32> reporting_seeds(bool quick);
 
--- a/Libraries/LibPolicyBench/Dispatcher.h
+++ b/Libraries/LibPolicyBench/Dispatcher.h
@@ -16,7 +16,7 @@
 
 namespace PolicyBench {
 
-/// What the simulation tells a policy and asks of it; the shape of PoolScheduler.
+/// The interface between the simulation and a policy. It has the shape of PoolScheduler.
 class Dispatcher {
 public:
     virtual ~Dispatcher() = default;
@@ -32,14 +32,15 @@
     virtual std::vector<Scheduling::Action> admit(Instant now) = 0;
 };
 
-/// What only the clairvoyant policy may know.
+/// The actual state of a generation, which only the clairvoyant policy may read.
 struct TrueState {
     i64 output { 0 };
     i64 produced { 0 };
 };
 using TrueStates = std::unordered_map<GenerationId, TrueState>;
 
-/// The limit: knows each length and each generation's exact progress, and admits what will never pass the memory.
+/// The theoretical optimum: knows the length and the exact progress of each generation, and admits those that will
+/// never exceed the memory.
 class ClairvoyantAdmission {
 public:
     explicit ClairvoyantAdmission(TrueStates const& states)
@@ -74,7 +75,7 @@
             alive_size -= holding.size;
             alive -= 1;
         }
-        // Partly filled blocks, half a block for each on average.
+        // Partly filled blocks waste half a block per generation on average.
         constexpr double half_block = 8;
         return (peak + half_block * static_cast<double>(holdings.size())) / engine.capacity;
     }
@@ -83,11 +84,11 @@
     TrueStates const* states;
 };
 
-/// The scheduler that ships, or the same one with another admission policy.
+/// The production scheduler, with its own or another admission policy.
 template<Scheduling::AdmissionPolicy Admission>
 class PoolDispatcher final : public Dispatcher {
 public:
-    /// `make_admission` is given the constants, which live as long as the dispatcher.
+    /// `make_admission` receives the constants, which live as long as the dispatcher.
     template<typename MakeAdmission>
     PoolDispatcher(Scheduling::PolicyConstants constants, MakeAdmission make_admission)
         : constants(std::make_unique<Scheduling::PolicyConstants>(constants))
@@ -127,12 +128,12 @@
     Scheduling::PoolScheduler<Admission> scheduler;
 };
 
-/// Baseline: several routers, each choosing alone and at once from load reports; the engines queue.
+/// Baseline: several routers that each choose an engine immediately from load reports alone. The engines queue.
 class IndependentRouters final : public Dispatcher {
 public:
     enum class Rule : u8 {
         LeastReported,
-        /// The less loaded of two drawn engines, counting what this router has placed since the report.
+        /// The less loaded of two random engines, including the placements of this router since the last report.
         TwoChoices,
     };
 
@@ -161,7 +162,7 @@
     void finished(GenerationId const&, AttemptNumber, Scheduling::EndReason, TokenCount, Instant) override { }
     void load_report(EngineId const& id, Scheduling::LoadReport const& report, Instant) override
     {
-        // What waits at the engine counts as well, at a typical size.
+        // Counts each request that waits at the engine at a typical size.
         constexpr double typical_size = 500;
         this->reported[id] = report.used_tokens + report.waiting * typical_size;
         for (auto& own : this->placed_since_report)
@@ -193,8 +194,8 @@
     std::vector<Scheduling::Action> actions;
 };
 
-/// Several schedulers that each believe to own the pool: what a disagreement about membership amounts to. Each sees
-/// only its own requests, and the load reports.
+/// Several schedulers that each act as the owner of the pool, as in a split brain after a disagreement about
+/// membership. Each receives only its own requests and the load reports.
 class SplitBrainOwners final : public Dispatcher {
 public:
     explicit SplitBrainOwners(std::vector<std::unique_ptr<Dispatcher>> owners)
@@ -246,12 +247,12 @@
 private:
     Dispatcher& owner(GenerationId const& id) { return *this->owners[this->owner_of.at(id)]; }
 
-    template<typename Ask>
-    std::vector<Scheduling::Action> gather(Ask ask)
+    template<typename GetActions>
+    std::vector<Scheduling::Action> gather(GetActions get_actions)
     {
         std::vector<Scheduling::Action> all;
         for (auto& owner : this->owners) {
-            auto actions = ask(*owner);
+            auto actions = get_actions(*owner);
             all.insert(all.end(), actions.begin(), actions.end());
         }
         return all;
--- a/Libraries/LibPolicyBench/Measures.h
+++ b/Libraries/LibPolicyBench/Measures.h
@@ -14,7 +14,8 @@
 
 namespace PolicyBench {
 
-/// Durations from 0.1 ms to 1,000 s in steps of under one per cent, for ratios between policies.
+/// Histogram of durations from 0.1 ms to 1,000 s with a resolution of better than one per cent, fine enough for ratios
+/// between policies.
 class DurationHistogram {
 public:
     DurationHistogram();
@@ -28,7 +29,7 @@
     u64 total { 0 };
 };
 
-/// What one run of one policy on one workload gave, over the time after warm-up.
+/// The results of one run of a policy on a workload, over the time after warm-up.
 struct Measures {
     DurationHistogram stall;
     DurationHistogram gap;
@@ -39,9 +40,9 @@
     u64 arrivals { 0 };
     u64 refusals { 0 };
     u64 completions { 0 };
-    /// Completed, with the first token within the deadline.
+    /// Generations whose first token came within the deadline.
     u64 good { 0 };
-    /// Lost with a reclaimed engine after tokens were delivered.
+    /// Generations lost with a reclaimed engine after tokens were delivered.
     u64 lost { 0 };
     u64 preemptions { 0 };
     double measured_seconds { 0 };
--- a/Libraries/LibPolicyBench/Simulation.cpp
+++ b/Libraries/LibPolicyBench/Simulation.cpp
@@ -258,7 +258,7 @@
         this->dispatcher->finished(id_of(key), progress.attempt, Scheduling::EndReason::Censored,
             TokenCount(this->true_states[id_of(key)].produced), this->now);
         if (progress.has_first_token) {
-            // It can't be continued elsewhere: the caller is told.
+            // No other engine can continue it, so it fails for the caller.
             ++this->measures.lost;
             this->progress.erase(key);
             this->true_states.erase(id_of(key));
--- a/Libraries/LibPolicyBench/Simulation.h
+++ b/Libraries/LibPolicyBench/Simulation.h
@@ -20,7 +20,7 @@
 
 using MakeDispatcher = std::function<std::unique_ptr<Dispatcher>(TrueStates const&)>;
 
-/// One run of one policy on one workload, in virtual time. The same inputs give the same measures on any machine.
+/// Runs one policy on one workload in virtual time. The same inputs give the same measures on any machine.
 class Simulation {
 public:
     Simulation(Scenario const&, std::vector<Request> requests, MakeDispatcher const&, u32 seed);
@@ -30,7 +30,7 @@
     enum class EventKind : u8 {
         Arrival,
         Tick,
-        /// A step of an engine ends.
+        /// The end of a step of an engine.
         StepEnd,
         Report,
         Message,
--- a/Libraries/LibPolicyBench/Workload.cpp
+++ b/Libraries/LibPolicyBench/Workload.cpp
@@ -27,7 +27,7 @@
     else
         value
             = boost::random::lognormal_distribution<double>(std::log(distribution.median), distribution.sigma)(random);
-    return std::clamp(value, 1.0, distribution.largest);
+    return std::clamp(value, 1.0, distribution.max);
 }
 
 static std::vector<double> class_shares(Scenario const& scenario, bool is_greedy_time)
@@ -59,7 +59,7 @@
     while (true) {
         auto progress = AK::to_seconds(at.time_since_epoch()) / AK::to_seconds(scenario.length);
         auto const& shares = progress > 1.0 / 3 ? greedy : ordinary;
-        // A greedy organisation comes on top of the others' load.
+        // The excess of a greedy organisation adds to the load of the others.
         boost::random::exponential_distribution<double> gap(rate * sum(shares) / sum(ordinary));
         at += AK::from_seconds(gap(random));
         if (at.time_since_epoch() >= scenario.length)
@@ -96,7 +96,7 @@
     scenario.engine = bench_engine();
     constexpr int plaza_count = 8;
     for (int i = 0; i < plaza_count; ++i) {
-        // Three to thirty lines, read as they stream. A few plazas are large.
+        // Three to thirty lines, read while they stream. A few plazas are large.
         TrafficClass summaries;
         summaries.organisation = "plaza-" + std::to_string(i);
         summaries.route = "summary";
@@ -124,7 +124,7 @@
     scenario.engine = bench_engine();
     constexpr int market_count = 10;
     for (int i = 0; i < market_count; ++i) {
-        // The customer is still standing there.
+        // A customer waits for the answer.
         TrafficClass answers;
         answers.organisation = "market-" + std::to_string(i);
         answers.route = "why-refused";
--- a/Libraries/LibPolicyBench/Workload.h
+++ b/Libraries/LibPolicyBench/Workload.h
@@ -13,15 +13,15 @@
 #include <string>
 #include <vector>
 
-/// Seeded workloads in virtual time for measuring the decision code. A model of engines' memory and steps, and of the
-/// lag of what is known of them; of nothing else.
+/// Seeded workloads in virtual time for measuring the decision code. They model only the memory and the steps of
+/// engines and the delay of load reports.
 namespace PolicyBench {
 
-/// Log-normal, cut off at `largest`; with a tail, one draw in `1 / tail_share` is Pareto instead.
+/// Log-normal, clamped at `max`. A `tail_share` of the draws comes from a Pareto distribution instead.
 struct LengthDistribution {
     double median { 100 };
     double sigma { 0.8 };
-    double largest { 8000 };
+    double max { 8000 };
     double tail_share { 0 };
     double tail_start { 500 };
     double tail_exponent { 1.2 };
@@ -31,14 +31,14 @@
 struct TrafficClass {
     std::string organisation;
     std::string route;
-    /// Relative to the other classes.
+    /// Share of the requests, relative to the other classes.
     double share { 1 };
     LengthDistribution prompt;
     LengthDistribution output;
     double maximum_output { 4096 };
     Duration deadline { 10s };
     Scheduling::MeasureWeights weights;
-    /// Number of different prompt starts, 0 for none in common.
+    /// Number of distinct prompt prefixes; 0 if prompts share none.
     u32 prefixes { 0 };
 };
 
@@ -47,19 +47,19 @@
     std::vector<TrafficClass> classes;
     u32 engine_count { 10 };
     EngineModel::EngineParameters engine;
-    /// Of the rate that the clairvoyant policy sustains.
+    /// As a fraction of the rate that the clairvoyant policy sustains.
     double load { 0.9 };
     Duration length { 300s };
     Duration warm_up { 60s };
-    /// How old load reports are on arrival, and how often they come.
+    /// Age of load reports on arrival, and the interval between them.
     Duration report_lag { 500ms };
     Duration report_period { 500ms };
-    /// Outputs of all classes grow by this factor half-way.
+    /// Outputs of all classes grow by this factor halfway through the run.
     double shift_factor { 1 };
-    /// This class sends so many times its share from a third of the run on.
+    /// From a third of the run on, this organisation sends `greedy_factor` times its share.
     std::optional<std::string> greedy_organisation;
     double greedy_factor { 1 };
-    /// One engine is reclaimed at half-time, with this much notice.
+    /// The notice with which one engine is reclaimed, given halfway through the run.
     std::optional<Duration> reclaim_notice;
     /// Share of cache events that never arrive.
     double lost_cache_events { 0 };
@@ -74,10 +74,10 @@
     u64 prefix_hash { 0 };
 };
 
-/// The requests of one run, in order of arrival.
+/// Draws the requests of one run, in order of arrival.
 std::vector<Request> draw_requests(Scenario const&, double rate, u32 seed);
 
-/// The two users' shapes of today: ten engines, about ten organisations each.
+/// The workloads of the two current users: ten engines and about ten organisations each.
 Scenario toll_scenario();
 Scenario hanak_scenario();
 
--- a/Tests/LibEngineModel/TestEngine.cpp
+++ b/Tests/LibEngineModel/TestEngine.cpp
@@ -20,7 +20,7 @@
     return parameters;
 }
 
-SCENARIO("memory fills while outputs grow, and the lowest priority gives way")
+SCENARIO("when growing outputs fill the memory, the lowest priority is preempted")
 {
     Engine engine(small_engine());
     engine.start({ .key = 1, .prompt_tokens = 100, .output_tokens = 150, .priority = 5 });
@@ -44,7 +44,7 @@
     CHECK(engine.load().used_tokens == 0);
 }
 
-TEST_CASE("each generation gives its tokens once and in order, within memory", "[property]")
+TEST_CASE("each generation emits its tokens once and in order, within the memory", "[property]")
 {
     rc::prop("engine", [] {
         Engine engine(small_engine());
