--- a/Libraries/LibAccount/LogLine.cpp
+++ b/Libraries/LibAccount/LogLine.cpp
@@ -35,11 +35,11 @@
 {
     while (text.ends_with(' '))
         text.remove_suffix(1);
-    auto blank = text.find_last_of(' ');
-    return blank == std::string_view::npos ? text : text.substr(blank + 1);
+    auto space = text.find_last_of(' ');
+    return space == std::string_view::npos ? text : text.substr(space + 1);
 }
 
-/// Takes a value off the front of `rest`: up to the next blank, or between quotes with their escapes undone.
+/// Removes a value from the front of `rest` and returns it: the text up to the next space, or a quoted text, unescaped.
 static std::optional<std::string> parse_value(std::string_view& rest)
 {
     if (!rest.starts_with('"')) {
@@ -62,8 +62,8 @@
     return {};
 }
 
-/// Fills in the keys and values of `rest`; the event's name stands among them without a value. False when a quote has
-/// no end.
+/// Adds the keys and values of `rest` to `values`. Skips words without a value, such as the name of the event. Returns
+/// false if a quote is not closed.
 static bool parse_values(std::string_view rest, std::map<std::string, std::string>& values)
 {
     while (!rest.empty()) {
--- a/Libraries/LibAccount/LogLine.h
+++ b/Libraries/LibAccount/LogLine.h
@@ -12,27 +12,28 @@
 #include <optional>
 #include <string>
 
-/// What became of requests, read afterwards from the structured logs of the hosts that took them.
+/// Offline analysis of requests and their outcomes, from the structured logs of the hosts that received them.
 namespace Account {
 
 /// One line of a structured log.
 struct LogLine {
-    /// The host that wrote it: the last word before the line, where logs of several hosts were put together with their
-    /// names in front. Empty when there is none.
+    /// The host that wrote the line. In a merged log of several hosts it is the last word before the line; empty if
+    /// there is none.
     std::string host;
-    /// Wall clock of that host, in milliseconds.
+    /// Wall-clock time of that host, in milliseconds.
     u64 milliseconds { 0 };
     Core::EventNumber event {};
     std::string subject;
     std::map<std::string, std::string> values;
 
-    /// Nothing when there is no such value, or when it is not a whole number.
+    /// Returns nothing if there is no such value or it is not a whole number.
     [[nodiscard]] std::optional<i64> number(std::string const& key) const;
-    /// Empty when there is no such value.
+    /// Returns an empty text if there is no such value.
     [[nodiscard]] std::string text(std::string const& key) const;
 };
 
-/// Nothing for a line that is not part of a structured log. An error for one that is, but cannot be read.
+/// Returns nothing for a line that is not part of a structured log, and an error for a line that is but cannot be
+/// parsed.
 Result<std::optional<LogLine>> parse_log_line(std::string_view);
 
 }
--- a/Libraries/LibAccount/RepeatAccount.cpp
+++ b/Libraries/LibAccount/RepeatAccount.cpp
@@ -11,11 +11,12 @@
 
 using Core::EventNumber;
 
-/// How many of the moments lie within `[from, to)`. Those before the beginning of time are none.
-static u32 count_between(std::vector<u64> const& moments, i64 from, i64 to)
+/// Returns the number of timestamps in `[from, to)`. Negative bounds count as zero.
+static u32 count_between(std::vector<u64> const& timestamps, i64 from, i64 to)
 {
-    auto position
-        = [&](i64 moment) { return std::ranges::lower_bound(moments, static_cast<u64>(std::max<i64>(0, moment))); };
+    auto position = [&](i64 timestamp) {
+        return std::ranges::lower_bound(timestamps, static_cast<u64>(std::max<i64>(0, timestamp)));
+    };
     return static_cast<u32>(position(to) - position(from));
 }
 
@@ -40,7 +41,7 @@
         if (!worst || window.excess() > worst->excess())
             worst = window;
     };
-    // A window that begins with a repeat and one that ends with it: between them lie all that can be the worst.
+    // The worst window begins or ends with a repeat, so only the two such windows of each repeat are checked.
     for (auto repeat : repeats) {
         consider(static_cast<i64>(repeat));
         consider(static_cast<i64>(repeat + 1) - static_cast<i64>(bound.window_milliseconds));
--- a/Libraries/LibAccount/RepeatAccount.h
+++ b/Libraries/LibAccount/RepeatAccount.h
@@ -11,44 +11,44 @@
 
 namespace Account {
 
-/// What all hosts together may send to a service beyond the first dispatch of each request, in any window: a share of
-/// its requests, and an allowance on top.
+/// Limit on the repeats that all hosts together may send to a service in any window: a ratio of its requests plus a
+/// fixed allowance. A repeat is any dispatch of a request after its first.
 struct RepeatBound {
     double ratio { 0.2 };
     double allowance { 50 };
     u64 window_milliseconds { 10'000 };
 };
 
-/// One window of time, with what was repeated in it.
+/// The repeats and requests of one window of time.
 struct RepeatWindow {
-    /// In milliseconds, by the clock of whoever counted.
+    /// Start of the window in milliseconds, by the clock that the timestamps come from.
     u64 from { 0 };
     u32 repeats { 0 };
-    /// In this window, in the one before it or in the one that begins half a window earlier, whichever holds most: a
-    /// repeat may come some time after its request.
+    /// The maximum of the requests in this window, in the window before it and in the window that begins half a window
+    /// earlier, since a repeat may follow its request after some time.
     u32 requests { 0 };
     double allowed { 0 };
 
     [[nodiscard]] double excess() const { return repeats - allowed; }
 };
 
-/// The window that exceeds the bound by most, or comes nearest to it. Nothing when nothing was repeated. Both lists are
-/// moments in milliseconds and rise.
+/// Returns the window that exceeds the bound by most or, if none does, comes closest to it. Returns nothing if there
+/// are no repeats. Both lists are timestamps in milliseconds in ascending order.
 std::optional<RepeatWindow> worst_window(
     std::vector<u64> const& requests, std::vector<u64> const& repeats, RepeatBound const&);
 
-/// Adds up what the hosts' logs say of repeats, by service.
+/// Collects the repeats in the logs of the hosts by service.
 class RepeatAccount {
 public:
     struct Service {
         std::vector<u64> requests;
         std::vector<u64> repeats;
-        /// Repeats that a host's part of the bound did not allow.
+        /// Number of repeats that a host's share of the bound did not allow.
         u32 withheld { 0 };
     };
 
     void add(LogLine const&);
-    /// By name; the moments rise.
+    /// Returns the services by name, with timestamps in ascending order.
     [[nodiscard]] std::map<std::string, Service> services() const;
 
 private:
--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -45,7 +45,7 @@
     trace.reason = std::move(reason);
 }
 
-/// Of a value that one line has and its goal, both in milliseconds; goals that the log does not tell are kept.
+/// Whether a value exceeds its goal, both in milliseconds. A goal that the log does not have counts as met.
 static bool is_over(std::optional<i64> value, std::optional<i64> goal) { return value && goal && *value > *goal; }
 
 static void end_generation(RequestTrace& trace, LogLine const& line)
--- a/Libraries/LibAccount/RequestAccount.h
+++ b/Libraries/LibAccount/RequestAccount.h
@@ -14,20 +14,21 @@
 namespace Account {
 
 enum class Outcome : u8 {
-    /// Whole, and within the goals of its route.
+    /// Completed within the goals of its route.
     InTime,
+    /// Completed, but not within the goals of its route.
     Late,
-    /// Answered by the host itself that it has not run.
+    /// The host itself responded that the request has not run.
     Refused,
-    /// A backend server's failure, passed on.
+    /// The host forwarded the error of a backend server.
     FailedByServer,
-    /// Answered by the host itself that it may have run.
+    /// The host itself responded that the request failed and may have run.
     Failed,
-    /// A stream that was begun and not ended whole.
+    /// A stream that started and did not complete.
     Interrupted,
-    /// The caller closed its connection first.
+    /// The caller closed its connection before the end.
     CallerDisconnected,
-    /// The host's process ended, or its log does, before the request.
+    /// The process of the host terminated, or its log ends, before the request did.
     HostTerminated,
 };
 
@@ -35,7 +36,7 @@
 
 std::string_view to_string(Outcome);
 
-/// One try of a caller, as its host saw it. Hosts cannot tell a caller's second try from a first one.
+/// One attempt of a caller, as its host logged it. Hosts cannot distinguish a caller's retry from a first attempt.
 struct RequestTrace {
     std::string id;
     std::string host;
@@ -44,17 +45,17 @@
     u64 received_at { 0 };
     u64 ended_at { 0 };
     Outcome outcome { Outcome::HostTerminated };
-    /// Why it was not served whole and in time; empty when it was.
+    /// Why it was not completed in time; empty if it was.
     std::string reason;
-    /// Every line about it, in the order of its host's log.
+    /// All lines about the request, in the order of its host's log.
     std::vector<LogLine> lines;
 };
 
-/// Puts together what the hosts' logs say of each request.
+/// Collects the lines of each request from the logs of the hosts.
 class RequestAccount {
 public:
     void add(LogLine);
-    /// Requests in the order in which they were received.
+    /// Returns the requests in the order of their arrival.
     [[nodiscard]] std::vector<RequestTrace> traces() const;
 
 private:
@@ -62,9 +63,9 @@
     std::map<std::string, size_t> index_of_id;
 };
 
-/// What became of the requests of one route that were received in one span of time.
+/// Outcomes of the requests of one route that were received in one span of time.
 struct Row {
-    /// Of the span, from the first request of all, in milliseconds.
+    /// Start of the span in milliseconds after the first request of all.
     u64 from { 0 };
     std::string route;
     std::array<u32, outcome_count> counts {};
--- a/Tests/LibAccount/TestRepeatAccount.cpp
+++ b/Tests/LibAccount/TestRepeatAccount.cpp
@@ -9,23 +9,23 @@
 
 using namespace Account;
 
-static std::vector<u64> moments(u64 from, u64 step, size_t count)
+static std::vector<u64> timestamps(u64 from, u64 step, size_t count)
 {
-    std::vector<u64> made;
+    std::vector<u64> result;
     for (size_t i = 0; i < count; ++i)
-        made.push_back(from + i * step);
-    return made;
+        result.push_back(from + i * step);
+    return result;
 }
 
-SCENARIO("the window with most repeats is found, beside what was allowed in it")
+SCENARIO("the window with the highest excess of repeats is found, with the number allowed in it")
 {
     RepeatBound const bound { 0.2, 5, 10'000 };
-    auto const requests = moments(50'000, 100, 200);
+    auto const requests = timestamps(50'000, 100, 200);
     CHECK_FALSE(worst_window(requests, {}, bound).has_value());
 
-    WHEN("repeats come together")
+    WHEN("repeats come in a burst")
     {
-        auto worst = worst_window(requests, moments(62'000, 10, 40), bound);
+        auto worst = worst_window(requests, timestamps(62'000, 10, 40), bound);
         REQUIRE(worst);
         CHECK(worst->repeats == 40);
         CHECK(worst->requests == 100);
@@ -34,23 +34,26 @@
     }
     WHEN("they are spread over more than a window")
     {
-        auto worst = worst_window(requests, moments(55'000, 500, 40), bound);
+        auto worst = worst_window(requests, timestamps(55'000, 500, 40), bound);
         REQUIRE(worst);
         CHECK(worst->repeats == 20);
     }
-    WHEN("requests have ended before they are repeated")
+    WHEN("repeats come after the requests of their window")
     {
-        THEN("those of half a window and of a window earlier count")
+        THEN("requests of half a window and of a window earlier count")
         {
-            CHECK(worst_window(requests, moments(65'000, 10, 8), bound)->requests == 100);
-            CHECK(worst_window(requests, moments(70'000, 10, 8), bound)->requests == 100);
-            CHECK(worst_window(requests, moments(72'500, 10, 8), bound)->requests == 75);
+            CHECK(worst_window(requests, timestamps(65'000, 10, 8), bound)->requests == 100);
+            CHECK(worst_window(requests, timestamps(70'000, 10, 8), bound)->requests == 100);
+            CHECK(worst_window(requests, timestamps(72'500, 10, 8), bound)->requests == 75);
+        }
+        THEN("older requests do not")
+        {
+            CHECK(worst_window(requests, timestamps(95'000, 10, 8), bound)->requests == 0);
         }
-        THEN("older ones do not") { CHECK(worst_window(requests, moments(95'000, 10, 8), bound)->requests == 0); }
     }
 }
 
-SCENARIO("what hosts say of repeats is added up by service")
+SCENARIO("the repeats in the logs of hosts are summed by service")
 {
     RepeatAccount account;
     auto add_line = [&](std::string const& text) {
--- a/Tests/LibAccount/TestRequestAccount.cpp
+++ b/Tests/LibAccount/TestRequestAccount.cpp
@@ -27,7 +27,7 @@
     return traces.front();
 }
 
-SCENARIO("a line of a structured log is read, with whatever stands before it")
+SCENARIO("a line of a structured log is parsed despite text before it")
 {
     auto read = line("  11.97 front-1 ms=1792430660948 event=E2204 stream_failed subject=g1 events=7 "
                      "reason=\"its \\\"engine\\\" ended\" moving=0");
@@ -46,14 +46,14 @@
         REQUIRE(other);
         CHECK_FALSE(other.value().has_value());
     }
-    WHEN("it was cut")
+    WHEN("it is truncated")
     {
         CHECK_FALSE(parse_log_line("ms=17 event=E2204 stream_failed subject=g1 reason=\"its eng"));
         CHECK_FALSE(parse_log_line("ms= event=E2204 stream_failed"));
     }
 }
 
-SCENARIO("what became of a generation is told from its lines")
+SCENARIO("the outcome of a generation is derived from its log lines")
 {
     std::vector<std::string> lines {
         "ms=1000 event=E2001 request_received subject=g1 route=drafts goal_ms=1800 left_ms=39000",
@@ -62,7 +62,7 @@
     };
     std::string const end = "ms=9000 event=E2203 stream_ended subject=g1 how=complete events=200 pause_goal_ms=180 ";
 
-    WHEN("it ends whole")
+    WHEN("it completes")
     {
         lines.push_back(end + "longest_gap_ms=60");
         CHECK(trace_of(lines).outcome == Outcome::InTime);
@@ -81,7 +81,7 @@
         lines.push_back(end + "longest_gap_ms=60");
         CHECK(trace_of(lines).outcome == Outcome::Late);
     }
-    WHEN("its engine ends")
+    WHEN("its engine terminates")
     {
         lines.push_back("ms=5000 event=E2204 stream_failed subject=g1 reason=\"its engine ended\"");
         CHECK(trace_of(lines).outcome == Outcome::Interrupted);
@@ -95,7 +95,7 @@
     }
 }
 
-SCENARIO("what became of calls is counted by time and route")
+SCENARIO("outcomes of calls are counted by time and route")
 {
     RequestAccount account;
     auto add_line = [&](std::string const& text) { account.add(line(text)); };
