--- a/Libraries/LibDelivery/DispatchRecord.h
+++ b/Libraries/LibDelivery/DispatchRecord.h
@@ -10,14 +10,14 @@
 
 namespace Delivery {
 
-/// Whether a call may be sent again after an attempt of unknown result.
+/// Whether a call may be sent again after an attempt with an unknown result.
 enum class Repeatability : u8 {
     Repeatable,
     AtMostOnce,
 };
 
-/// Keeps, for one request, how far each of its dispatches got, and derives from that alone what may be said and done.
-/// "Not run" is said only while every dispatch is known not to have run.
+/// Tracks the progress of all dispatches of one request, and derives from it the outcome to report and whether another
+/// dispatch is allowed. The outcome is NotRun only while every dispatch is known not to have run.
 class DispatchRecord {
 public:
     explicit DispatchRecord(Repeatability repeatability)
@@ -25,11 +25,12 @@
     {
     }
 
-    /// Call before the first byte may leave.
+    /// Must be called before the first byte may be sent.
     void about_to_send() { ++this->open_dispatches; }
-    /// The connection could not be opened, or the backend server confirmed that it did not start the request.
+    /// Records that the connection could not be opened, or that the backend server confirmed not to have started the
+    /// request.
     void confirmed_not_started() { --this->open_dispatches; }
-    /// The whole answer arrived.
+    /// Records that the complete response arrived.
     void completed() { this->is_completed = true; }
 
     /// Whether another dispatch is safe.
@@ -49,7 +50,7 @@
 
 private:
     Repeatability repeatability;
-    // Dispatches of which a byte may have left and that are not known not to have run.
+    // Dispatches of which a byte may have been sent and that may have run.
     int open_dispatches { 0 };
     bool is_completed { false };
 };
--- a/Libraries/LibDelivery/EventStream.cpp
+++ b/Libraries/LibDelivery/EventStream.cpp
@@ -9,7 +9,7 @@
 
 namespace Delivery {
 
-/// The field of an event that holds its number (WHATWG HTML, section 9.2, server-sent events).
+/// The field with the number of an event (WHATWG HTML, section 9.2, server-sent events).
 static constexpr std::string_view number_field = "id:";
 
 static std::optional<u64> number_of(std::string_view event)
@@ -32,7 +32,7 @@
     return {};
 }
 
-/// Where the first event in `bytes` ends, behind its blank line; npos when it is not all here.
+/// Returns the position after the blank line that ends the first event in `bytes`, or npos if the event is incomplete.
 static size_t end_of_event(std::string_view bytes)
 {
     auto plain = bytes.find("\n\n");
--- a/Libraries/LibDelivery/EventStream.h
+++ b/Libraries/LibDelivery/EventStream.h
@@ -14,20 +14,20 @@
 
 namespace Delivery {
 
-/// One event of a text/event-stream, whole, with the blank line that ends it.
+/// One complete event of a text/event-stream, including the blank line at its end.
 struct StreamEvent {
-    /// Empty when the event carries none that is a number.
+    /// Empty if the event has no numeric id.
     std::optional<u64> number;
     std::string text;
 };
 
-/// Cuts a stream of bytes into whole events. Bytes of an event that is never completed are never handed out.
+/// Splits a byte stream into complete events. Does not return any byte of an incomplete event.
 class EventStreamReader {
 public:
-    /// An event larger than this, in bytes, is no event of a generation.
+    /// Upper bound on the size of an event of a generation.
     static constexpr size_t max_event_bytes = 256 << 10;
 
-    /// Takes the next bytes of the stream; answers the events that they complete, in order.
+    /// Processes the next bytes of the stream and returns the events that they complete, in order.
     std::vector<StreamEvent> feed(std::string_view bytes);
     [[nodiscard]] bool has_partial_event() const { return !this->pending.empty(); }
     [[nodiscard]] bool is_oversized() const { return this->pending.size() > max_event_bytes; }
@@ -36,21 +36,21 @@
     std::string pending;
 };
 
-/// Lets each event of a generation through once and in order, whatever run it comes from.
+/// Lets each event of a generation pass once and in order, even if several runs of the generation emit events.
 class EventOrder {
 public:
     enum class Verdict : u8 {
         Forward,
-        /// The caller has it already.
+        /// A duplicate that the caller already has.
         Drop,
-        /// Events before it are missing.
+        /// Earlier events are missing.
         Gap,
     };
 
     Verdict check(StreamEvent const&);
-    /// The number of the last event that was let through.
+    /// Returns the number of the last forwarded event.
     [[nodiscard]] std::optional<u64> last() const { return this->last_number; }
-    /// Events that were let through.
+    /// Returns the count of forwarded events.
     [[nodiscard]] u64 count() const { return this->forwarded; }
 
 private:
--- a/Libraries/LibDelivery/Outcome.h
+++ b/Libraries/LibDelivery/Outcome.h
@@ -11,13 +11,13 @@
 
 namespace Delivery {
 
-/// What a caller may believe of its request. Nothing else is ever said.
+/// The outcome of a request as reported to its caller. There are no other outcomes.
 enum class Outcome : u8 {
-    /// No backend server has run it or will run it.
+    /// No backend server has run the request or will run it.
     NotRun,
-    /// It ran, and the caller has the whole answer.
+    /// The request ran, and the caller has the complete response.
     Completed,
-    /// It ran, may have run, or may still run; the answer is missing or partial.
+    /// The request ran, may have run, or may still run. The response is missing or partial.
     MayHaveRun,
 };
 
--- a/Libraries/LibDelivery/ResumeToken.cpp
+++ b/Libraries/LibDelivery/ResumeToken.cpp
@@ -15,7 +15,7 @@
 
 namespace Delivery {
 
-/// Poco's HMACEngine wants a digest whose block size is known when compiled.
+/// Poco's HMACEngine requires a digest engine with a block size that is a compile-time constant.
 class Sha256Engine : public Poco::SHA2Engine {
 public:
     enum {
@@ -75,7 +75,7 @@
     return { ErrorKind::InvalidRequest, "not a resume token; send the one that came with the stream", {} };
 }
 
-/// Key ids may hold dots, so the parts are counted from the end.
+/// Splits a token into key id, payload and signature. Key ids may contain dots, so the parts are split from the end.
 static Result<std::vector<std::string>> split(std::string const& text)
 {
     auto last = text.rfind('.');
@@ -93,7 +93,7 @@
     return parts[0];
 }
 
-/// Takes the same time wherever the difference lies.
+/// Compares in a time that does not depend on the position of the first difference.
 static bool equals_in_constant_time(std::string const& left, std::string const& right)
 {
     if (left.size() != right.size())
--- a/Libraries/LibDelivery/ResumeToken.h
+++ b/Libraries/LibDelivery/ResumeToken.h
@@ -12,8 +12,8 @@
 
 namespace Delivery {
 
-/// What a gateway needs to go on with a generation that another gateway began. The caller holds it; nothing is
-/// stored.
+/// The state with which a gateway resumes a generation that another gateway started. The caller keeps the token; no
+/// gateway stores it.
 struct ResumeToken {
     GenerationId generation;
     AttemptNumber attempt;
@@ -32,16 +32,17 @@
     std::string secret_hexadecimal;
 };
 
-/// "key id.payload.signature", with HMAC-SHA-256 over the first two parts.
+/// Encodes a token as "key id.payload.signature", where the signature is an HMAC-SHA-256 over the first two parts.
 std::string sign(ResumeToken const&, SigningKey const&);
 
-/// The key id a token names, for looking the key up. Errors: InvalidRequest.
+/// Returns the key id of a token, to look up the key. Errors: InvalidRequest.
 Result<std::string> signing_key_id(std::string const& text);
 
-/// Errors: InvalidRequest when malformed, Forbidden when the signature is wrong or the token has expired.
+/// Decodes a token and checks its signature and expiry. Errors: InvalidRequest if the token is malformed, Forbidden if
+/// the signature is wrong or the token has expired.
 Result<ResumeToken> verify(std::string const& text, SigningKey const&, u64 wall_now);
 
-/// Lower-case hexadecimal SHA-256, as API keys are kept.
+/// Returns the SHA-256 of a text in lower-case hexadecimal, the form in which API keys are stored.
 std::string sha256_hexadecimal(std::string const& text);
 
 }
--- a/Libraries/LibDelivery/TokenRelay.h
+++ b/Libraries/LibDelivery/TokenRelay.h
@@ -11,20 +11,20 @@
 namespace Delivery {
 
 enum class TokenVerdict : u8 {
-    /// The next token: pass it on.
+    /// The next token, to be forwarded.
     Deliver,
-    /// Passed on before, as after a resume that overlaps.
+    /// Forwarded before, as after a resume with an overlap.
     Duplicate,
-    /// From an attempt that was given up, or from another execution than the one that began.
+    /// From an abandoned attempt, or from another execution than the pinned one.
     Foreign,
-    /// A token before this one is missing: resume from next_offset().
+    /// An earlier token is missing. The caller of accept() must resume from next_offset().
     Gap,
 };
 
-/// Lets through each token of one generation exactly once, in order, and from one execution only. One thread.
+/// Lets each token of one generation pass exactly once, in order, and from a single execution. Not thread-safe.
 class TokenRelay {
 public:
-    /// `next` is the first offset the caller lacks: 0, or more when it resumes.
+    /// `next` is the first offset that the caller does not have yet: 0, or more on a resume.
     explicit TokenRelay(AttemptNumber attempt, u64 next = 0)
         : attempt(attempt)
         , next(next)
@@ -32,7 +32,7 @@
     {
     }
 
-    /// `execution` names one run on one engine; it is pinned by the first token.
+    /// `token_execution` is the id of one run on one engine. The first token pins it.
     TokenVerdict accept(AttemptNumber token_attempt, std::string const& token_execution, u64 offset)
     {
         if (token_attempt != this->attempt)
@@ -49,10 +49,11 @@
         return TokenVerdict::Deliver;
     }
 
-    /// The execution a resumed stream must continue.
+    /// Sets the execution that a resumed stream must continue.
     void pin_execution(std::string pinned) { this->execution = std::move(pinned); }
 
-    /// Fences out the current attempt and takes up the next. Allowed only while the caller has no token.
+    /// Fences off the current attempt and starts the next one. Allowed only while the caller has no token; returns
+    /// whether it is.
     [[nodiscard]] bool begin_next_attempt()
     {
         if (this->delivered_any)
--- a/Libraries/LibHistory/History.cpp
+++ b/Libraries/LibHistory/History.cpp
@@ -154,13 +154,13 @@
 {
     std::map<std::pair<std::string, u64>, u64> last;
     std::vector<Violation> found;
-    for (auto const& seen : record.revisions) {
-        auto& previous = last[{ seen.member, seen.incarnation }];
-        if (seen.revision < previous)
+    for (auto const& observed : record.revisions) {
+        auto& previous = last[{ observed.member, observed.incarnation }];
+        if (observed.revision < previous)
             found.push_back({ "never reverts",
-                seen.member + " went from revision " + std::to_string(previous) + " back to "
-                    + std::to_string(seen.revision) });
-        previous = std::max(previous, seen.revision);
+                observed.member + " went from revision " + std::to_string(previous) + " back to "
+                    + std::to_string(observed.revision) });
+        previous = std::max(previous, observed.revision);
     }
     return found;
 }
--- a/Libraries/LibHistory/History.h
+++ b/Libraries/LibHistory/History.h
@@ -11,19 +11,19 @@
 #include <string>
 #include <vector>
 
-/// What a concurrent run left behind, and checks of the promises on it after the fact. Nothing here depends on time.
+/// Histories of concurrent runs, and offline checks of the promises on them. The checks do not depend on time.
 namespace History {
 
-/// One generation as its caller saw it, over all its connections.
+/// One generation as its caller received it, over all its connections.
 struct DeliveredGeneration {
     std::string generation;
-    /// "completed", "not_run", "may_have_run", or empty when the caller had no final answer.
+    /// "completed", "not_run", "may_have_run", or empty if the caller got no final response.
     std::string outcome;
     std::vector<u64> offsets;
     std::vector<std::string> tokens;
 };
 
-/// One run of a generation at an engine.
+/// One execution of a generation on an engine.
 struct Execution {
     std::string name;
     std::string generation;
@@ -32,7 +32,7 @@
     std::vector<std::string> tokens;
 };
 
-/// One plain-service call as its caller saw it.
+/// One call of a plain service as its caller saw it.
 struct DeliveredCall {
     std::string call;
     std::string idempotency_key;
@@ -41,14 +41,14 @@
     std::string outcome;
 };
 
-/// One run of a plain-service call at a server.
+/// One execution of a call on a backend server of a plain service.
 struct ServiceExecution {
     std::string call;
     std::string idempotency_key;
     std::string path;
 };
 
-/// A process had a revision in force.
+/// Records that a process had a revision in force.
 struct RevisionSeen {
     std::string member;
     u64 incarnation { 0 };
@@ -60,7 +60,7 @@
     std::vector<Execution> executions;
     std::vector<DeliveredCall> calls;
     std::vector<ServiceExecution> service_executions;
-    /// In the order in which each process had them.
+    /// For each process in the order in which the revisions were in force.
     std::vector<RevisionSeen> revisions;
 };
 
@@ -69,19 +69,20 @@
     std::string detail;
 };
 
-/// Adds the lines that a caller, an engine, a service or a time line wrote. Each line is one JSON object with a
-/// "kind". Errors: InvalidRequest with the line.
+/// Parses lines written by callers, engines, services or timelines, and adds them to `record`. Each line is a JSON
+/// object, usually with a "kind". Errors: InvalidRequest with the line.
 Result<void> read_lines(std::string const& text, Record& record);
 
-/// Every token exactly once, in order, from a single execution; a completed answer is whole.
+/// Checks that each token was delivered exactly once, in order and from a single execution, and that completed
+/// responses are complete.
 std::vector<Violation> check_delivery(Record const&);
-/// What was refused as not run has no execution.
+/// Checks that generations and calls with the outcome "not_run" have no execution.
 std::vector<Violation> check_not_run(Record const&);
-/// A call that must not be repeated has at most one execution, and so has each idempotency key.
+/// Checks that each call that is not repeatable and each idempotency key has at most one execution.
 std::vector<Violation> check_at_most_once(Record const&);
-/// No process ever goes back to an earlier revision.
+/// Checks that no process reverts to an earlier revision.
 std::vector<Violation> check_revisions_monotonic(Record const&);
-/// All of the above.
+/// Runs all checks above.
 std::vector<Violation> check_all(Record const&);
 
 }
--- a/Libraries/LibPolicyBench/Workload.h
+++ b/Libraries/LibPolicyBench/Workload.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 /// Seeded workloads in virtual time for measuring the decision code. They model only the memory and the steps of
-/// engines and the delay of load reports.
+/// engines, and the delay of reports about them.
 namespace PolicyBench {
 
 /// Log-normal, clamped at `max`. A `tail_share` of the draws comes from a Pareto distribution instead.
--- a/Tests/LibDelivery/TestDispatchRecord.cpp
+++ b/Tests/LibDelivery/TestDispatchRecord.cpp
@@ -20,13 +20,13 @@
     CHECK(record.outcome() == Outcome::MayHaveRun);
     CHECK_FALSE(record.may_dispatch());
 
-    WHEN("the server confirms that it did not start it")
+    WHEN("the backend server confirms that it did not start the request")
     {
         record.confirmed_not_started();
         CHECK(record.outcome() == Outcome::NotRun);
         CHECK(record.may_dispatch());
     }
-    WHEN("the answer arrives")
+    WHEN("the response arrives")
     {
         record.completed();
         CHECK(record.outcome() == Outcome::Completed);
@@ -44,15 +44,15 @@
                 break;
             record.about_to_send();
             switch (fate % 4) {
-            case 0: // refused before it started
+            case 0: // rejected before it started
                 record.confirmed_not_started();
                 break;
-            case 1: // lost on the way there, which the caller cannot tell from the next
+            case 1: // lost before it arrived, which the caller cannot distinguish from the next case
                 break;
-            case 2: // ran, answer lost
+            case 2: // ran, response lost
                 ++runs;
                 break;
-            case 3: // ran and answered
+            case 3: // ran, response received
                 ++runs;
                 record.completed();
                 break;
--- a/Tests/LibDelivery/TestEventStream.cpp
+++ b/Tests/LibDelivery/TestEventStream.cpp
@@ -13,7 +13,7 @@
 
 static std::string event(u64 number) { return "id: " + std::to_string(number) + "\ndata: word\n\n"; }
 
-SCENARIO("a stream of bytes is cut into whole events")
+SCENARIO("a byte stream is split into complete events")
 {
     EventStreamReader reader;
     GIVEN("an event in two pieces")
@@ -44,7 +44,7 @@
     }
 }
 
-SCENARIO("cutting a stream anywhere gives the same events")
+SCENARIO("the events do not depend on how the stream is split into pieces")
 {
     rc::prop("any cut", [](std::vector<u8> const& cuts) {
         std::string stream;
--- a/Tests/LibDelivery/TestResumeToken.cpp
+++ b/Tests/LibDelivery/TestResumeToken.cpp
@@ -19,7 +19,7 @@
         OrganisationId("hanak"), RouteName("why-refused"), 5000 };
 }
 
-SCENARIO("a resume token reads back only whole, in time and with its own key")
+SCENARIO("a resume token is accepted only unaltered, before its expiry and with its own key")
 {
     auto text = Delivery::sign(example_token(), key);
     CHECK(Delivery::signing_key_id(text).value() == key.id);
@@ -50,7 +50,7 @@
     });
 }
 
-SCENARIO("API keys are kept as their SHA-256")
+SCENARIO("API keys are stored as their SHA-256")
 {
     CHECK(Delivery::sha256_hexadecimal("abc") == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
--- a/Tests/LibDelivery/TestTokenRelay.cpp
+++ b/Tests/LibDelivery/TestTokenRelay.cpp
@@ -22,19 +22,22 @@
 
     WHEN("a resumed stream overlaps") { CHECK(relay.accept(first_attempt, "e1", 1) == TokenVerdict::Duplicate); }
     WHEN("a token is missing") { CHECK(relay.accept(first_attempt, "e1", 3) == TokenVerdict::Gap); }
-    WHEN("another execution speaks") { CHECK(relay.accept(first_attempt, "e2", 2) == TokenVerdict::Foreign); }
-    WHEN("an attempt that was given up speaks")
+    WHEN("a token of another execution arrives")
+    {
+        CHECK(relay.accept(first_attempt, "e2", 2) == TokenVerdict::Foreign);
+    }
+    WHEN("a token of an abandoned attempt arrives")
     {
         CHECK(relay.accept(AttemptNumber(0), "e1", 2) == TokenVerdict::Foreign);
     }
-    WHEN("another attempt is wanted after tokens were delivered")
+    WHEN("another attempt is started after tokens were delivered")
     {
         CHECK_FALSE(relay.begin_next_attempt());
         CHECK(relay.current_attempt() == first_attempt);
     }
 }
 
-SCENARIO("an attempt without a token can be given up")
+SCENARIO("an attempt can be abandoned before its first token")
 {
     TokenRelay relay(first_attempt);
     REQUIRE(relay.begin_next_attempt());
--- a/Tests/LibHistory/TestHistory.cpp
+++ b/Tests/LibHistory/TestHistory.cpp
@@ -30,7 +30,7 @@
     return record;
 }
 
-static std::vector<std::string> promises_broken(Record const& record)
+static std::vector<std::string> violated_promises(Record const& record)
 {
     std::vector<std::string> names;
     for (auto const& violation : History::check_all(record))
@@ -41,58 +41,58 @@
 SCENARIO("the checker passes a sound history and catches each planted violation")
 {
     auto record = sound_record();
-    CHECK(promises_broken(record).empty());
+    CHECK(violated_promises(record).empty());
 
     SECTION("a token delivered twice")
     {
         record.generations[0].offsets = { 0, 0 };
-        CHECK(promises_broken(record) == std::vector<std::string> { "exactly once, in order" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "exactly once, in order" });
     }
     SECTION("a token missing")
     {
         record.generations[0].offsets = { 0, 2 };
-        CHECK(promises_broken(record) == std::vector<std::string> { "exactly once, in order" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "exactly once, in order" });
     }
     SECTION("tokens of two executions")
     {
         record.executions.push_back({ "e3", "g1", 2, true, { "a ", "x " } });
         record.executions[0].tokens = { "y ", "b " };
-        CHECK(promises_broken(record) == std::vector<std::string> { "from a single generation, whole" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "from a single generation, whole" });
     }
-    SECTION("an answer said to be complete that is not whole")
+    SECTION("a response reported as complete that is partial")
     {
         record.generations[0].offsets = { 0 };
         record.generations[0].tokens = { "a " };
-        CHECK(promises_broken(record) == std::vector<std::string> { "from a single generation, whole" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "from a single generation, whole" });
     }
-    SECTION("a generation said not to have run that ran")
+    SECTION("a generation that ran and was reported as not run")
     {
         record.executions.push_back({ "e4", "g3", 1, false, {} });
-        CHECK(promises_broken(record) == std::vector<std::string> { "not run means not run" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "not run means not run" });
     }
-    SECTION("a call said not to have run that ran")
+    SECTION("a call that ran and was reported as not run")
     {
         record.service_executions.push_back({ "c2", "", "/charges" });
-        CHECK(promises_broken(record) == std::vector<std::string> { "not run means not run" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "not run means not run" });
     }
     SECTION("a call that ran twice")
     {
         record.service_executions.push_back({ "c1", "", "/charges" });
-        CHECK(promises_broken(record) == std::vector<std::string> { "at most once" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "at most once" });
     }
     SECTION("a key that ran twice, by two calls")
     {
         record.service_executions.push_back({ "c9", "k1", "/charges" });
-        CHECK(promises_broken(record) == std::vector<std::string> { "at most once" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "at most once" });
     }
     SECTION("a revision that reverted")
     {
         record.revisions.push_back({ "m", 2, 4 });
-        CHECK(promises_broken(record) == std::vector<std::string> { "never reverts" });
+        CHECK(violated_promises(record) == std::vector<std::string> { "never reverts" });
     }
 }
 
-SCENARIO("a line that is not of a history is refused")
+SCENARIO("a line that is not part of a history is an error")
 {
     Record record;
     CHECK_FALSE(History::read_lines("{\n", record).has_value());
--- a/Tests/LibScheduling/TestLengthForecast.cpp
+++ b/Tests/LibScheduling/TestLengthForecast.cpp
@@ -15,7 +15,7 @@
 
 static ForecastKey const summaries { OrganisationId("toll"), RouteName("summary"), ModelId("writer") };
 
-/// Feeds one output, which is cut off at `cut` if it would be longer.
+/// Records one output, which is cancelled at `cut` tokens if it would be longer.
 static void feed(LengthForecasts& forecasts, LengthForecasts::Index index, double length, double cut = 1e9)
 {
     forecasts.start(index);
@@ -45,7 +45,7 @@
     CHECK(LengthBins::index(1e9) == LengthBins::count - 1);
 }
 
-SCENARIO("the forecast follows what outputs were like")
+SCENARIO("the forecast follows the distribution of past outputs")
 {
     LengthForecasts forecasts;
     auto index = forecasts.index_of(summaries);
@@ -53,7 +53,7 @@
         feed(forecasts, index, length);
     forecasts.refresh();
     CHECK(forecasts.curve(index).survival(0, 100) == Approx(0.5).margin(0.06));
-    THEN("it is conditional on how far an output has come")
+    THEN("it is conditional on the tokens that an output has produced")
     {
         CHECK(forecasts.curve(index).survival(200, 50) < forecasts.curve(index).survival(0, 50));
         CHECK(forecasts.curve(index).expected_remaining(0) == Approx(128).epsilon(0.15));
@@ -67,26 +67,26 @@
     }
 }
 
-SCENARIO("outputs that were cut off do not pass for short ones")
+SCENARIO("cancelled outputs are not mistaken for short ones")
 {
-    LengthForecasts whole;
-    LengthForecasts cut;
-    auto whole_index = whole.index_of(summaries);
-    auto cut_index = cut.index_of(summaries);
+    LengthForecasts complete;
+    LengthForecasts censored;
+    auto complete_index = complete.index_of(summaries);
+    auto censored_index = censored.index_of(summaries);
     int number = 0;
     for (auto length : draw(100, 3000, 3)) {
-        feed(whole, whole_index, length);
+        feed(complete, complete_index, length);
         // Half of them are cancelled after 60 tokens.
-        feed(cut, cut_index, length, ++number % 2 == 0 ? 60 : 1e9);
+        feed(censored, censored_index, length, ++number % 2 == 0 ? 60 : 1e9);
     }
-    whole.refresh();
-    cut.refresh();
+    complete.refresh();
+    censored.refresh();
     for (double tokens : { 50.0, 100.0, 200.0 })
-        CHECK(cut.curve(cut_index).survival(0, tokens)
-            == Approx(whole.curve(whole_index).survival(0, tokens)).margin(0.06));
+        CHECK(censored.curve(censored_index).survival(0, tokens)
+            == Approx(complete.curve(complete_index).survival(0, tokens)).margin(0.06));
 }
 
-SCENARIO("a new organisation is forecast like the others on the model")
+SCENARIO("the forecast of a new organisation is that of the others on the same model")
 {
     LengthForecasts forecasts;
     auto known = forecasts.index_of(summaries);
@@ -95,10 +95,10 @@
     auto fresh = forecasts.index_of({ OrganisationId("hanak"), RouteName("other"), ModelId("writer") });
     forecasts.refresh();
     CHECK(forecasts.curve(fresh).survival(0, 30) == Approx(forecasts.curve(known).survival(0, 30)).margin(0.05));
-    THEN("and one on another model by the prior")
+    THEN("the forecast on another model is the prior")
     {
-        auto elsewhere = forecasts.index_of({ OrganisationId("hanak"), RouteName("other"), ModelId("reader") });
+        auto other_model = forecasts.index_of({ OrganisationId("hanak"), RouteName("other"), ModelId("reader") });
         forecasts.refresh();
-        CHECK(forecasts.curve(elsewhere).survival(0, 100) == Approx(0.5).margin(0.01));
+        CHECK(forecasts.curve(other_model).survival(0, 100) == Approx(0.5).margin(0.01));
     }
 }
--- a/Tests/LibScheduling/TestPoolScheduler.cpp
+++ b/Tests/LibScheduling/TestPoolScheduler.cpp
@@ -42,7 +42,7 @@
         return this->scheduler.admit(now);
     }
 
-    /// Submits until one has to wait.
+    /// Submits requests until one has to wait. Returns the number of the placed ones.
     int fill(std::string const& organisation = "toll")
     {
         for (int count = 0;; ++count) {
@@ -72,7 +72,7 @@
     return std::get<RefuseAction>(actions[0]).error;
 }
 
-SCENARIO("a request goes to an engine that has room")
+SCENARIO("a request goes to an engine with free capacity")
 {
     Pool pool;
     auto first = placed(pool.submit(pool.request("g1")));
@@ -85,7 +85,7 @@
         for (int i = 0; i < 5; ++i)
             CHECK(placed(pool.submit(pool.request("d" + std::to_string(i)))).engine == engine_b);
     }
-    WHEN("an engine has been silent for too long")
+    WHEN("an engine has been silent for longer than the limit")
     {
         auto later = start + pool.constants.silence_limit + 1s;
         pool.scheduler.load_report(engine_b, {}, later);
@@ -98,14 +98,14 @@
         again.excluded_engines = { engine_a };
         CHECK(placed(pool.submit(again)).engine == engine_b);
     }
-    WHEN("a report shows work there that others placed")
+    WHEN("a report shows work that other processes placed on an engine")
     {
         LoadReport report;
         report.used_tokens = 9500;
         pool.scheduler.load_report(engine_a, report, start);
         CHECK(placed(pool.submit(pool.request("f"))).engine == engine_b);
     }
-    WHEN("its prefix is cached at one of them")
+    WHEN("its prefix is cached on one engine")
     {
         pool.scheduler.prefix_cached(engine_b, 77, true);
         auto cached = pool.request("p");
@@ -114,7 +114,7 @@
     }
 }
 
-SCENARIO("when memory is short, requests wait, and room goes to them")
+SCENARIO("requests wait while memory is short, and are placed once it is free")
 {
     Pool pool;
     auto count = pool.fill();
@@ -157,7 +157,7 @@
     }
 }
 
-SCENARIO("a pool without an engine refuses at once, and one that is about to hear of its engines waits")
+SCENARIO("a pool without engines refuses at once, and one that expects reports of its engines queues")
 {
     Pool pool;
     auto later = start + pool.constants.silence_limit + 1s;
@@ -172,21 +172,21 @@
     CHECK(placed(pool.scheduler.admit(later)).engine == engine_b);
 }
 
-SCENARIO("a rate limit lets through its rate")
+SCENARIO("a rate limit admits requests at its rate")
 {
     Pool pool(1'000'000);
-    int taken = 0;
+    int admitted = 0;
     for (int i = 0; i < 100; ++i) {
         auto limited = pool.request("r" + std::to_string(i));
         limited.maximum_rate = 5;
         auto actions = pool.submit(limited, start + i * 100ms);
-        taken += std::holds_alternative<PlaceAction>(actions.at(0));
+        admitted += std::holds_alternative<PlaceAction>(actions.at(0));
     }
-    CHECK(taken >= 48);
-    CHECK(taken <= 55);
+    CHECK(admitted >= 48);
+    CHECK(admitted <= 55);
 }
 
-SCENARIO("a greedy organisation does not keep another out")
+SCENARIO("a greedy organisation does not starve another")
 {
     Pool pool;
     auto count = pool.fill("greedy");
@@ -198,7 +198,7 @@
     auto modest = pool.request("modest", "modest");
     modest.deadline = 1000s;
     CHECK(pool.submit(modest).empty());
-    WHEN("room comes up")
+    WHEN("capacity becomes free")
     {
         std::vector<Action> actions;
         for (int i = 0; i < count && actions.empty(); ++i) {
@@ -211,20 +211,20 @@
     }
 }
 
-SCENARIO("a question asked again gets the same answer")
+SCENARIO("a repeated submit gets the same response")
 {
     Pool pool;
     auto first = placed(pool.submit(pool.request("g1")));
     auto again = placed(pool.submit(pool.request("g1")));
     CHECK(first.engine == again.engine);
     CHECK(pool.scheduler.view().generation_of_id.size() == 1);
-    WHEN("the next attempt is asked for")
+    WHEN("the next attempt is submitted")
     {
         auto next = pool.request("g1");
         next.attempt = AttemptNumber(2);
         next.excluded_engines = { first.engine };
         CHECK(placed(pool.submit(next)).engine != first.engine);
-        THEN("news of the attempt before is passed over")
+        THEN("a report about the previous attempt is ignored")
         {
             pool.scheduler.finished(GenerationId("g1"), AttemptNumber(1), EndReason::Completed, TokenCount(5), start);
             CHECK(pool.scheduler.knows(GenerationId("g1")));
@@ -232,7 +232,7 @@
     }
 }
 
-SCENARIO("a new owner learns what runs from the gateways")
+SCENARIO("a new owner rebuilds the running generations from reports of the gateways")
 {
     Pool pool;
     pool.scheduler.rebuild(
@@ -244,7 +244,7 @@
     {
         CHECK(pool.scheduler.find_unlisted_generations(engine_a, {}, start + 1s).size() == 1);
     }
-    WHEN("the engine goes away")
+    WHEN("the engine is removed")
     {
         pool.scheduler.remove_engine(engine_a);
         CHECK_FALSE(pool.scheduler.knows(GenerationId("g")));
@@ -260,7 +260,7 @@
         std::vector<std::string> running;
         auto now = start;
         int next = 0;
-        auto take = [&](std::vector<Action> const& actions) {
+        auto record = [&](std::vector<Action> const& actions) {
             for (auto const& action : actions) {
                 if (auto const* place = std::get_if<PlaceAction>(&action)) {
                     ++answers[place->generation.value()];
@@ -283,7 +283,7 @@
                 request.deadline = std::chrono::milliseconds(*rc::gen::inRange(1, 20'000));
                 request.maximum_concurrency = *rc::gen::inRange(0u, 12u);
                 answers[request.generation.value()] += 0;
-                take(pool.submit(request, now));
+                record(pool.submit(request, now));
                 break;
             }
             case 2:
@@ -293,7 +293,7 @@
                         *rc::gen::element(EndReason::Completed, EndReason::Censored, EndReason::NotStarted),
                         TokenCount(*rc::gen::inRange(1, 400)), now);
                     running.erase(running.begin() + static_cast<std::ptrdiff_t>(position));
-                    take(pool.scheduler.admit(now));
+                    record(pool.scheduler.admit(now));
                 }
                 break;
             case 3:
@@ -302,7 +302,7 @@
                 break;
             default:
                 pool.scheduler.load_report(*rc::gen::element(engine_a, engine_b), {}, now);
-                take(pool.scheduler.tick(now));
+                record(pool.scheduler.tick(now));
             }
             auto const& tables = pool.scheduler.view();
             size_t on_engines = tables.engines[0].generations.size() + tables.engines[1].generations.size();
@@ -311,8 +311,8 @@
             for (auto const& engine : tables.engines)
                 RC_ASSERT(engine.prefill_backlog >= 0.0);
         }
-        // Whatever still waits gets its answer when its deadline passes.
-        take(pool.scheduler.tick(now + 30s));
+        // Each queued request gets its response when its deadline passes.
+        record(pool.scheduler.tick(now + 30s));
         for (auto const& [generation, count] : answers)
             RC_ASSERT(count == 1);
     });
