--- a/Libraries/LibOverloadModel/Experiment.cpp
+++ b/Libraries/LibOverloadModel/Experiment.cpp
@@ -56,20 +56,19 @@
 }
 
 template<typename Number>
-static std::vector<Number> read_numbers(
-    Core::SettingsReader& reader, std::string const& key, Number smallest, Number largest)
+static std::vector<Number> read_numbers(Core::SettingsReader& reader, std::string const& key, Number min, Number max)
 {
     std::vector<Number> values;
     for (auto const& text : reader.text_list(key)) {
         Number value {};
         auto const* end = text.data() + text.size();
         auto const parsed = std::from_chars(text.data(), end, value);
-        if (parsed.ec == std::errc {} && parsed.ptr == end && value >= smallest && value <= largest) {
+        if (parsed.ec == std::errc {} && parsed.ptr == end && value >= min && value <= max) {
             values.push_back(value);
             continue;
         }
         std::ostringstream remedy;
-        remedy << "expected numbers from " << smallest << " to " << largest;
+        remedy << "expected numbers from " << min << " to " << max;
         reader.add_error(key, remedy.str());
     }
     return values;
--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -344,9 +344,9 @@
     void finish(u32 number, u64 id)
     {
         auto& engine = this->engines[number];
-        auto const ended = engine.running.extract(id).mapped();
-        engine.used -= ended.held();
-        this->broadcast_change(number, ended.what.from_domain, [held = ended.held()](Serving::EngineLoad& load) {
+        auto const finished = engine.running.extract(id).mapped();
+        engine.used -= finished.held();
+        this->broadcast_change(number, finished.what.from_domain, [held = finished.held()](Serving::EngineLoad& load) {
             --load.peer_generations;
             load.peer_tokens -= held;
         });
--- a/Tests/LibDelivery/TestEventStream.cpp
+++ b/Tests/LibDelivery/TestEventStream.cpp
@@ -56,8 +56,8 @@
         size_t next_cut = 0;
         while (position < stream.size()) {
             size_t length = cuts.empty() ? stream.size() : 1 + cuts[next_cut++ % cuts.size()] % 40;
-            for (auto const& whole : reader.feed(std::string_view(stream).substr(position, length)))
-                joined += whole.text;
+            for (auto const& complete : reader.feed(std::string_view(stream).substr(position, length)))
+                joined += complete.text;
             position += length;
         }
         RC_ASSERT(joined == stream);
--- a/Tests/LibScheduling/TestPoolScheduler.cpp
+++ b/Tests/LibScheduling/TestPoolScheduler.cpp
@@ -256,17 +256,17 @@
 {
     rc::prop("pool scheduler", [] {
         Pool pool;
-        std::map<std::string, int> answers;
+        std::map<std::string, int> responses;
         std::vector<std::string> running;
         auto now = start;
         int next = 0;
         auto record = [&](std::vector<Action> const& actions) {
             for (auto const& action : actions) {
                 if (auto const* place = std::get_if<PlaceAction>(&action)) {
-                    ++answers[place->generation.value()];
+                    ++responses[place->generation.value()];
                     running.push_back(place->generation.value());
                 } else {
-                    ++answers[std::get<RefuseAction>(action).generation.value()];
+                    ++responses[std::get<RefuseAction>(action).generation.value()];
                     RC_ASSERT(std::get<RefuseAction>(action).error.retry_after.has_value());
                 }
             }
@@ -282,7 +282,7 @@
                 request.prompt = TokenCount(*rc::gen::inRange(1, 6000));
                 request.deadline = std::chrono::milliseconds(*rc::gen::inRange(1, 20'000));
                 request.maximum_concurrency = *rc::gen::inRange(0u, 12u);
-                answers[request.generation.value()] += 0;
+                responses[request.generation.value()] += 0;
                 record(pool.submit(request, now));
                 break;
             }
@@ -313,7 +313,7 @@
         }
         // Each queued request gets its response when its deadline passes.
         record(pool.scheduler.tick(now + 30s));
-        for (auto const& [generation, count] : answers)
+        for (auto const& [generation, count] : responses)
             RC_ASSERT(count == 1);
     });
 }
