--- a/Libraries/LibServing/Admission.cpp
+++ b/Libraries/LibServing/Admission.cpp
@@ -26,7 +26,7 @@
     switch (verdict) {
     case AdmissionVerdict::Admit:
         return "admit";
-    case AdmissionVerdict::NoRoom:
+    case AdmissionVerdict::NoCapacity:
         return "no_room";
     case AdmissionVerdict::NoEngine:
         return "no_engine";
@@ -113,7 +113,7 @@
     decision.retry_after = draw_return(random);
     auto const back_off = shortest_back_off(candidates, inputs.now);
     if (decision.serving > 0) {
-        decision.verdict = AdmissionVerdict::NoRoom;
+        decision.verdict = AdmissionVerdict::NoCapacity;
     } else if (back_off) {
         decision.verdict = AdmissionVerdict::BackingOff;
         decision.retry_after += *back_off;
--- a/Libraries/LibServing/Admission.h
+++ b/Libraries/LibServing/Admission.h
@@ -23,7 +23,7 @@
     Admit,
     /// No engine has room. Sent all the same it would wait in an engine's queue until it is late, and hold up those
     /// behind it.
-    NoRoom,
+    NoCapacity,
     /// No engine may be given work at all.
     NoEngine,
     /// Larger than the memory of an empty engine.
@@ -39,8 +39,8 @@
     AdmissionVerdict verdict { AdmissionVerdict::NoEngine };
     /// Of Admit only.
     BackendPointer engine;
-    /// When a caller that gets NoRoom, NoEngine or BackingOff should come back; drawn, so that those refused together
-    /// do not return together.
+    /// When a caller that gets NoCapacity, NoEngine or BackingOff should come back; drawn, so that those refused
+    /// together do not return together.
     Duration retry_after { 0 };
     /// Engines that may be given work, and those of them that had room.
     u32 serving { 0 };
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -304,7 +304,7 @@
     static std::string reason_of(AdmissionVerdict verdict)
     {
         switch (verdict) {
-        case AdmissionVerdict::NoRoom:
+        case AdmissionVerdict::NoCapacity:
             return "all that serve are full";
         case AdmissionVerdict::BackingOff:
             return "all that serve have asked for a pause";
--- a/Tests/LibServing/TestAdmission.cpp
+++ b/Tests/LibServing/TestAdmission.cpp
@@ -53,7 +53,7 @@
     {
         engine.engine.own_tokens = memory.value() - 3399;
         auto const decision = pool.decide();
-        CHECK(decision.verdict == AdmissionVerdict::NoRoom);
+        CHECK(decision.verdict == AdmissionVerdict::NoCapacity);
         CHECK(decision.serving == 1);
         CHECK(decision.with_room == 0);
         CHECK(decision.retry_after > 0s);
@@ -67,7 +67,7 @@
     WHEN("so much is still to be read that its first event would come late")
     {
         engine.engine.own_unread_tokens = 10'000;
-        CHECK(pool.decide(3000, 400, 1800ms).verdict == AdmissionVerdict::NoRoom);
+        CHECK(pool.decide(3000, 400, 1800ms).verdict == AdmissionVerdict::NoCapacity);
         THEN("one that is due later is admitted")
         {
             CHECK(pool.decide(3000, 400, 2s).verdict == AdmissionVerdict::Admit);
@@ -80,18 +80,18 @@
         THEN("it waits behind no more than itself")
         {
             engine.engine.own_unread_tokens += 1;
-            CHECK(pool.decide(3000, 400, 100ms).verdict == AdmissionVerdict::NoRoom);
+            CHECK(pool.decide(3000, 400, 100ms).verdict == AdmissionVerdict::NoCapacity);
         }
     }
     WHEN("all its slots are taken")
     {
         engine.engine.own_generations = slots;
-        CHECK(pool.decide().verdict == AdmissionVerdict::NoRoom);
+        CHECK(pool.decide().verdict == AdmissionVerdict::NoCapacity);
     }
     WHEN("it has been tried already")
     {
         pool.tried.emplace_back("a1");
-        CHECK(pool.decide().verdict == AdmissionVerdict::NoRoom);
+        CHECK(pool.decide().verdict == AdmissionVerdict::NoCapacity);
     }
     WHEN("its domain is emptied")
     {
@@ -115,7 +115,7 @@
     Pool pool;
     auto& far = pool.add("b1", "hall-b");
     far.engine.peer_tokens = memory.value() - 3 * 3400 + 1;
-    CHECK(pool.decide().verdict == AdmissionVerdict::NoRoom);
+    CHECK(pool.decide().verdict == AdmissionVerdict::NoCapacity);
     far.engine.peer_tokens -= 1;
     CHECK(pool.decide().verdict == AdmissionVerdict::Admit);
 }
