--- a/Libraries/LibServing/Admission.cpp
+++ b/Libraries/LibServing/Admission.cpp
@@ -101,7 +101,7 @@
         ++decision.serving;
         if (!has_room(*candidate, asked, memory, inputs))
             continue;
-        ++decision.with_room;
+        ++decision.with_capacity;
         if (is_candidate(*candidate, tried, inputs))
             chosen.offer(candidate, cost(*candidate));
     }
--- a/Libraries/LibServing/Admission.h
+++ b/Libraries/LibServing/Admission.h
@@ -44,7 +44,7 @@
     Duration retry_after { 0 };
     /// Engines that may be given work, and those of them that had room.
     u32 serving { 0 };
-    u32 with_room { 0 };
+    u32 with_capacity { 0 };
 };
 
 /// Whether one of the engines takes the generation, and which one. Passes over those in `tried`. `memory`: of one
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -291,7 +291,7 @@
         this->context.log.event(Core::EventNumber::GenerationRefused, this->attempt())
             .with("ground", verdict)
             .with("engines", decision.serving)
-            .with("with_room", decision.with_room)
+            .with("with_room", decision.with_capacity)
             .with("tries", this->tried.size())
             .with("prompt", this->demand().prompt)
             .with("expected_output", this->need().expected_output)
--- a/Tests/LibServing/TestAdmission.cpp
+++ b/Tests/LibServing/TestAdmission.cpp
@@ -55,7 +55,7 @@
         auto const decision = pool.decide();
         CHECK(decision.verdict == AdmissionVerdict::NoCapacity);
         CHECK(decision.serving == 1);
-        CHECK(decision.with_room == 0);
+        CHECK(decision.with_capacity == 0);
         CHECK(decision.retry_after > 0s);
         THEN("a smaller one is admitted") { CHECK(pool.decide(2000, 20).verdict == AdmissionVerdict::Admit); }
         THEN("it is admitted as soon as there is room")
@@ -152,7 +152,7 @@
         auto const decision = pool.decide(prompt, expected, std::chrono::milliseconds(*rc::gen::inRange(0, 3000)));
         if (decision.verdict != AdmissionVerdict::Admit) {
             RC_ASSERT(!decision.engine);
-            RC_ASSERT(decision.with_room == 0u);
+            RC_ASSERT(decision.with_capacity == 0u);
             return;
         }
         auto const& engine = *decision.engine;
