--- a/Libraries/LibServing/Admission.cpp
+++ b/Libraries/LibServing/Admission.cpp
@@ -12,7 +12,7 @@
 namespace Serving {
 
 /// While it makes the tokens of others in between.
-static constexpr double read_tokens_per_second = tokens_read_alone_per_second / 2;
+static constexpr double read_tokens_per_second = idle_prefill_tokens_per_second / 2;
 /// Hosts of other failure domains hear of a placement later than those of the engine's own, and may choose it
 /// meanwhile: an engine elsewhere must have room for so many more generations like this one.
 static constexpr i64 generations_unseen_elsewhere = 2;
--- a/Libraries/LibServing/BackendChooser.cpp
+++ b/Libraries/LibServing/BackendChooser.cpp
@@ -26,7 +26,7 @@
 /// Breaks ties differently on each host, so that hosts with the same view do not all choose the same one.
 static constexpr double tie_breaking_noise = 0.02;
 /// A backlog of so many prompt tokens costs as much as a full memory.
-static constexpr double unread_tokens_scale = tokens_read_alone_per_second;
+static constexpr double unread_tokens_scale = idle_prefill_tokens_per_second;
 /// For each second that a copy would wait for those before it: the time an engine gives before it ends is one or two.
 static constexpr double copy_wait_cost = 0.5;
 /// Memory beyond this share is where running generations would begin to push each other out.
--- a/Libraries/LibServing/BackendChooser.h
+++ b/Libraries/LibServing/BackendChooser.h
@@ -14,7 +14,7 @@
 namespace Serving {
 
 /// Prompt tokens that an engine reads in a second if it does nothing else.
-inline constexpr double tokens_read_alone_per_second = 14'000;
+inline constexpr double idle_prefill_tokens_per_second = 14'000;
 
 /// What a choice depends on beside the candidates.
 struct ChoiceInputs {
