--- a/Libraries/LibServing/BackendChooser.cpp
+++ b/Libraries/LibServing/BackendChooser.cpp
@@ -83,7 +83,7 @@
 {
     auto const& engine = backend.engine;
     auto known = engine.tokens();
-    if (!engine.report || now - engine.report_heard_at > engine_report_lifetime)
+    if (!engine.report || now - engine.report_received_at > engine_report_lifetime)
         return known;
     return std::max(known, engine.report->used.value());
 }
--- a/Libraries/LibServing/EngineLoad.h
+++ b/Libraries/LibServing/EngineLoad.h
@@ -58,7 +58,7 @@
     /// Memory set aside here for copies that are on their way.
     i64 expected_copy_tokens { 0 };
     std::optional<EngineReport> report;
-    Instant report_heard_at {};
+    Instant report_received_at {};
     bool report_under_way { false };
 
     [[nodiscard]] i64 tokens() const { return this->own_tokens + this->peer_tokens + this->expected_copy_tokens; }
--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -181,7 +181,7 @@
             return;
         }
         backend.engine.report = report.value();
-        backend.engine.report_heard_at = now;
+        backend.engine.report_received_at = now;
         if (report.value().ends_in)
             this->note_end(backend, *report.value().ends_in);
         if (report.value().is_leaving && backend.availability == Availability::Serving)
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -99,7 +99,7 @@
     {
         if (!engine.engine.report)
             return "none";
-        return std::to_string(AK::to_milliseconds(this->context.now() - engine.engine.report_heard_at));
+        return std::to_string(AK::to_milliseconds(this->context.now() - engine.engine.report_received_at));
     }
 
     void dispatch_to(BackendPointer const& target, std::optional<Continuation> continuation)
--- a/Tests/LibServing/TestTables.cpp
+++ b/Tests/LibServing/TestTables.cpp
@@ -157,7 +157,7 @@
     WHEN("the other one reports that its memory is full")
     {
         two->engine.report = EngineReport { 8, 0, TokenCount(33'000), TokenCount(34'000), false, {} };
-        two->engine.report_heard_at = now;
+        two->engine.report_received_at = now;
         CHECK(choose() == "one");
         THEN("an old report is not believed")
         {
