--- a/Libraries/LibServing/EngineLoad.h
+++ b/Libraries/LibServing/EngineLoad.h
@@ -59,7 +59,7 @@
     i64 expected_copy_tokens { 0 };
     std::optional<EngineReport> report;
     Instant report_received_at {};
-    bool report_under_way { false };
+    bool poll_in_flight { false };
 
     [[nodiscard]] i64 tokens() const { return this->own_tokens + this->peer_tokens + this->expected_copy_tokens; }
     [[nodiscard]] i64 unread_tokens() const { return this->own_unread_tokens + this->peer_unread_tokens; }
--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -117,7 +117,7 @@
 
     void ask(BackendPointer const& backend)
     {
-        if (std::exchange(backend->engine.report_under_way, true))
+        if (std::exchange(backend->engine.poll_in_flight, true))
             return;
         auto connection = this->context.connections.acquire(backend->endpoint);
         auto body = std::make_shared<std::string>();
@@ -129,7 +129,7 @@
             if (error || *is_answered)
                 return;
             connection->cancel();
-            backend->engine.report_under_way = false;
+            backend->engine.poll_in_flight = false;
         });
         Http::ExchangeObserver observer {
             [notice](Http::ResponseHead const& head) {
@@ -141,7 +141,7 @@
                 Http::ExchangeEnd end, std::string const& reason) {
                 *is_answered = true;
                 patience->cancel();
-                backend->engine.report_under_way = false;
+                backend->engine.poll_in_flight = false;
                 this->context.connections.release(connection);
                 auto report = D::decode_engine_report(*body);
                 if (!report || is_from(*backend, report.value()))
