--- a/Libraries/LibServing/EngineLoad.h
+++ b/Libraries/LibServing/EngineLoad.h
@@ -48,7 +48,7 @@
     i64 peer_tokens { 0 };
     i64 peer_unread_tokens { 0 };
     /// The part of it that hosts of this host's own failure domain have: what its speaker tells other domains.
-    EngineWork domain_peers;
+    EngineWork domain_peer_work;
     /// Tokens of generations that have to leave this engine and are not copied yet: what its link still has to carry.
     i64 own_uncopied_tokens { 0 };
     i64 peer_uncopied_tokens { 0 };
--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -29,7 +29,7 @@
     engine.peer_uncopied_tokens += sign * use.uncopied_tokens;
     engine.peer_incoming_tokens += sign * use.incoming_tokens;
     if (is_near)
-        add_to(engine.domain_peers, use, sign);
+        add_to(engine.domain_peer_work, use, sign);
 }
 
 void PeerUse::replace(Host& host, EngineId const& id, Told const& told, BackendTable& table)
@@ -106,7 +106,7 @@
     PeerUse::Use use { engine.own_generations, engine.own_tokens + engine.expected_copy_tokens,
         engine.own_unread_tokens, engine.own_uncopied_tokens, engine.own_incoming_tokens };
     if (this->scope == UseScope::Domain)
-        add_to(use, engine.domain_peers, 1);
+        add_to(use, engine.domain_peer_work, 1);
     return use;
 }
 
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -450,6 +450,6 @@
     THEN("a host does not tell on what it has heard of another domain")
     {
         CHECK_FALSE(OwnUse(UseScope::Domain).changes(table).has_value());
-        CHECK(engine->engine.domain_peers == EngineWork {});
+        CHECK(engine->engine.domain_peer_work == EngineWork {});
     }
 }
