--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -56,7 +56,7 @@
             if (!error && !this->is_over)
                 on_deadline();
         });
-        this->context.budget.note_request(this->call.service->name, this->context.now());
+        this->context.budget.record_request(this->call.service->name, this->context.now());
     }
 
     /// Ends the request's time here: its deadline concerns nobody any more.
--- a/Libraries/LibServing/RetryBudget.cpp
+++ b/Libraries/LibServing/RetryBudget.cpp
@@ -46,7 +46,7 @@
     return { hosts, std::min(part, part - whole + 1), static_cast<u32>(whole) - 1 };
 }
 
-void RetryBudget::note_request(ServiceName const& service, Instant now)
+void RetryBudget::record_request(ServiceName const& service, Instant now)
 {
     auto& earned = this->accounts[service].earned;
     earned = std::min(earned + this->limits.ratio, this->part_at(now).most_saved);
--- a/Libraries/LibServing/RetryBudget.h
+++ b/Libraries/LibServing/RetryBudget.h
@@ -54,7 +54,7 @@
     /// part until they have heard of it, has left the window then.
     void set_sharing_hosts(std::optional<u32> hosts, Instant now);
     /// A request has come; it earns its share of a further dispatch.
-    void note_request(ServiceName const&, Instant now);
+    void record_request(ServiceName const&, Instant now);
     /// Takes one further dispatch out of the budget, if there is one.
     [[nodiscard]] Decision take(ServiceName const&, Instant now);
 
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -202,7 +202,7 @@
     {
         auto const milliseconds = static_cast<u64>(AK::to_milliseconds(this->now.time_since_epoch()));
         this->requests.push_back(milliseconds);
-        host.budget->note_request(service, this->now);
+        host.budget->record_request(service, this->now);
         for (u32 i = 0; i < most_repeats && this->chance(this->failing); ++i) {
             ++this->wanted;
             if (!host.budget->take(service, this->now).is_granted)
--- a/Tests/LibServing/TestRetryBudget.cpp
+++ b/Tests/LibServing/TestRetryBudget.cpp
@@ -27,7 +27,7 @@
     };
     auto requests = [&](int count) {
         for (int i = 0; i < count; ++i)
-            budget.note_request(lanes, now);
+            budget.record_request(lanes, now);
     };
     auto spend_with_requests = [&](int count) {
         int spent = 0;
@@ -141,7 +141,7 @@
             if (step % 3 == 0)
                 now += std::chrono::milliseconds(step * 4);
             if (step % 3 == 1) {
-                budget.note_request(lanes, now);
+                budget.record_request(lanes, now);
                 seen.emplace_back(now, false);
             }
             if (step % 3 == 2 && budget.take(lanes, now).is_granted)
