--- a/Libraries/LibServing/RetryBudget.cpp
+++ b/Libraries/LibServing/RetryBudget.cpp
@@ -33,7 +33,7 @@
 
 Duration RetryBudget::spent_for() const { return this->limits.window + longest_way; }
 
-RetryBudget::Part RetryBudget::part_at(Instant now) const
+RetryBudget::Part RetryBudget::share_at(Instant now) const
 {
     bool const has_part = this->sharing_hosts && now - this->known_since >= this->spent_for();
     if (!has_part)
@@ -49,13 +49,13 @@
 void RetryBudget::record_request(ServiceName const& service, Instant now)
 {
     auto& earned = this->accounts[service].earned;
-    earned = std::min(earned + this->limits.ratio, this->part_at(now).most_saved);
+    earned = std::min(earned + this->limits.ratio, this->share_at(now).most_saved);
 }
 
 RetryBudget::Decision RetryBudget::take(ServiceName const& service, Instant now)
 {
     auto& account = this->accounts[service];
-    auto const part = this->part_at(now);
+    auto const part = this->share_at(now);
     account.earned = std::min(account.earned, part.most_saved);
     auto const spent = account.of_allowance.at_most_within(this->spent_for(), now);
     auto const of_allowance = part.in_window - std::min(part.in_window, spent);
--- a/Libraries/LibServing/RetryBudget.h
+++ b/Libraries/LibServing/RetryBudget.h
@@ -71,7 +71,7 @@
         double most_saved { 0 };
         u32 in_window { 0 };
     };
-    [[nodiscard]] Part part_at(Instant now) const;
+    [[nodiscard]] Part share_at(Instant now) const;
     /// A repeat counts for longer than a window, since it may reach its backend server later than it was granted.
     [[nodiscard]] Duration spent_for() const;
 
