--- a/Libraries/LibServing/RetryBudget.cpp
+++ b/Libraries/LibServing/RetryBudget.cpp
@@ -49,14 +49,14 @@
 void RetryBudget::record_request(ServiceName const& service, Instant now)
 {
     auto& earned = this->accounts[service].earned;
-    earned = std::min(earned + this->limits.ratio, this->share_at(now).most_saved);
+    earned = std::min(earned + this->limits.ratio, this->share_at(now).max_saved);
 }
 
 RetryBudget::Decision RetryBudget::take(ServiceName const& service, Instant now)
 {
     auto& account = this->accounts[service];
     auto const part = this->share_at(now);
-    account.earned = std::min(account.earned, part.most_saved);
+    account.earned = std::min(account.earned, part.max_saved);
     auto const spent = account.of_allowance.at_most_within(this->spent_for(), now);
     auto const of_allowance = part.in_window - std::min(part.in_window, spent);
     auto const left = std::floor(account.earned) + of_allowance;
--- a/Libraries/LibServing/RetryBudget.h
+++ b/Libraries/LibServing/RetryBudget.h
@@ -68,7 +68,7 @@
     struct Part {
         /// 0: it has none yet.
         u32 hosts { 0 };
-        double most_saved { 0 };
+        double max_saved { 0 };
         u32 in_window { 0 };
     };
     [[nodiscard]] Part share_at(Instant now) const;
