--- a/Libraries/LibServing/RetryBudget.cpp
+++ b/Libraries/LibServing/RetryBudget.cpp
@@ -31,11 +31,11 @@
     this->sharing_hosts = hosts;
 }
 
-Duration RetryBudget::spent_for() const { return this->limits.window + longest_way; }
+Duration RetryBudget::accounting_window() const { return this->limits.window + longest_way; }
 
 RetryBudget::Part RetryBudget::share_at(Instant now) const
 {
-    bool const has_part = this->sharing_hosts && now - this->known_since >= this->spent_for();
+    bool const has_part = this->sharing_hosts && now - this->known_since >= this->accounting_window();
     if (!has_part)
         return { 0, most_saved_without_part, 0 };
     auto const hosts = std::max({ 1U, this->limits.hosts, *this->sharing_hosts });
@@ -57,7 +57,7 @@
     auto& account = this->accounts[service];
     auto const part = this->share_at(now);
     account.earned = std::min(account.earned, part.max_saved);
-    auto const spent = account.of_allowance.at_most_within(this->spent_for(), now);
+    auto const spent = account.of_allowance.at_most_within(this->accounting_window(), now);
     auto const of_allowance = part.in_window - std::min(part.in_window, spent);
     auto const left = std::floor(account.earned) + of_allowance;
     if (left < 1)
@@ -66,7 +66,7 @@
     if (account.earned >= 1)
         account.earned -= 1;
     else
-        account.of_allowance.add(now, this->spent_for());
+        account.of_allowance.add(now, this->accounting_window());
     return { true, left - 1, part.hosts };
 }
 
--- a/Libraries/LibServing/RetryBudget.h
+++ b/Libraries/LibServing/RetryBudget.h
@@ -73,7 +73,7 @@
     };
     [[nodiscard]] Part share_at(Instant now) const;
     /// A repeat counts for longer than a window, since it may reach its backend server later than it was granted.
-    [[nodiscard]] Duration spent_for() const;
+    [[nodiscard]] Duration accounting_window() const;
 
     Limits limits;
     std::optional<u32> sharing_hosts;
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -177,7 +177,7 @@
     Libraries/LibServing/RetryBudget.cpp ", *this->sharing_hosts })" " })"
 guard "a host that has started has no part yet" TestFleet \
     "Scenario: few hosts, each with a large part, repeat no more than the bound allows" \
-    Libraries/LibServing/RetryBudget.cpp "now - this->known_since >= this->spent_for()" "true"
+    Libraries/LibServing/RetryBudget.cpp "now - this->known_since >= this->accounting_window()" "true"
 guard "a host that does not know the others has no part" TestFleet \
     "Scenario: all hosts together repeat no more than the bound allows" \
     Libraries/LibServing/Reach.cpp "    if (!this->table_read_at)
@@ -187,7 +187,7 @@
     Libraries/LibServing/RetryBudget.cpp "std::min(part, part - whole + 1)" "part"
 guard "the allowance is spent once in a window" TestFleet \
     "Scenario: all hosts together repeat no more than the bound allows" \
-    Libraries/LibServing/RetryBudget.cpp "account.of_allowance.at_most_within(this->spent_for(), now)" "0U"
+    Libraries/LibServing/RetryBudget.cpp "account.of_allowance.at_most_within(this->accounting_window(), now)" "0U"
 guard "hosts of other domains are counted as these say" TestLibServing \
     "Scenario: a host counts all that may be serving, also those that it does not hear" \
     Libraries/LibServing/Reach.cpp "= count.told > 0 ? count.told : count.known;" "= count.known;"
