--- a/Libraries/LibServing/RecentCount.cpp
+++ b/Libraries/LibServing/RecentCount.cpp
@@ -19,7 +19,7 @@
     ++this->buckets.back().count;
 }
 
-u32 RecentCount::at_most_within(Duration span, Instant now) const
+u32 RecentCount::upper_bound_within(Duration span, Instant now) const
 {
     auto const first = bucket_of(now - span);
     u32 count = 0;
--- a/Libraries/LibServing/RecentCount.h
+++ b/Libraries/LibServing/RecentCount.h
@@ -21,7 +21,7 @@
     /// It has happened now. `kept`: the longest span that will be asked for.
     void add(Instant now, Duration kept);
     /// Not less than happened in the span before `now`: a bucket that lies partly within it counts wholly.
-    [[nodiscard]] u32 at_most_within(Duration span, Instant now) const;
+    [[nodiscard]] u32 upper_bound_within(Duration span, Instant now) const;
 
 private:
     struct Bucket {
--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -75,7 +75,7 @@
     // What this host's former process sent counts as well, and it has left the span by then.
     if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->span)
         return false;
-    return backend.sent.at_most_within(bound->span, now) < this->own_part(backend, *bound, now);
+    return backend.sent.upper_bound_within(bound->span, now) < this->own_part(backend, *bound, now);
 }
 
 bool ServerLimits::may_send(Backend const& backend, Instant now) const
