--- a/Libraries/LibServing/RetryBudget.cpp
+++ b/Libraries/LibServing/RetryBudget.cpp
@@ -57,7 +57,7 @@
     auto& account = this->accounts[service];
     auto const part = this->share_at(now);
     account.earned = std::min(account.earned, part.max_saved);
-    auto const spent = account.of_allowance.upper_bound_within(this->accounting_window(), now);
+    auto const spent = account.spent_allowance.upper_bound_within(this->accounting_window(), now);
     auto const of_allowance = part.in_window - std::min(part.in_window, spent);
     auto const left = std::floor(account.earned) + of_allowance;
     if (left < 1)
@@ -66,7 +66,7 @@
     if (account.earned >= 1)
         account.earned -= 1;
     else
-        account.of_allowance.add(now, this->accounting_window());
+        account.spent_allowance.add(now, this->accounting_window());
     return { true, left - 1, part.hosts };
 }
 
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -187,7 +187,7 @@
     Libraries/LibServing/RetryBudget.cpp "std::min(part, part - whole + 1)" "part"
 guard "the allowance is spent once in a window" TestFleet \
     "Scenario: all hosts together repeat no more than the bound allows" \
-    Libraries/LibServing/RetryBudget.cpp "account.of_allowance.upper_bound_within(this->accounting_window(), now)" "0U"
+    Libraries/LibServing/RetryBudget.cpp "account.spent_allowance.upper_bound_within(this->accounting_window(), now)" "0U"
 guard "hosts of other domains are counted as these say" TestLibServing \
     "Scenario: a host counts all that may be serving, also those that it does not hear" \
     Libraries/LibServing/Reach.cpp "= count.told > 0 ? count.told : count.known;" "= count.known;"
