--- a/Libraries/LibServing/PlacementPace.h
+++ b/Libraries/LibServing/PlacementRate.h
@@ -13,7 +13,7 @@
 
 /// How fast this host places generations, and what that says of what others of its domain place unseen by it: callers
 /// are spread over the hosts of a domain, so that they place about as fast.
-class PlacementPace {
+class PlacementRate {
 public:
     void note(Instant now)
     {
--- a/Libraries/LibServing/ServingContext.h
+++ b/Libraries/LibServing/ServingContext.h
@@ -11,7 +11,7 @@
 #include <LibHttp/ConnectionPool.h>
 #include <LibServing/Admission.h>
 #include <LibServing/HostSettings.h>
-#include <LibServing/PlacementPace.h>
+#include <LibServing/PlacementRate.h>
 #include <LibServing/ProcessCheck.h>
 #include <LibServing/Quarantine.h>
 #include <LibServing/Reach.h>
@@ -45,7 +45,7 @@
     RetryBudget budget;
     Reach reach;
     ServerLimits server_limits;
-    PlacementPace placements;
+    PlacementRate placements;
     ProcessCheck processes;
     Quarantine quarantine;
     /// Whether this host knows what was held back before it started.
--- a/Tests/LibServing/TestLateBeliefs.cpp
+++ b/Tests/LibServing/TestLateBeliefs.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <LibServing/BackendChooser.h>
-#include <LibServing/PlacementPace.h>
+#include <LibServing/PlacementRate.h>
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -99,7 +99,7 @@
 
 SCENARIO("what others place unseen is reckoned from the host's own pace")
 {
-    PlacementPace pace;
+    PlacementRate pace;
     Instant now { 100s };
     CHECK(pace.unseen(now, 59, 250ms) == 0);
     for (int i = 0; i < 65; ++i) {
