--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -59,7 +59,7 @@
             return this->refuse(decision);
         auto const& chosen = decision.engine;
         this->tried.push_back(chosen->server.id);
-        this->context.placements.note(this->context.now());
+        this->context.placements.record(this->context.now());
         this->log_placement(*chosen);
         auto prompt = this->demand().prompt.value();
         this->claim.emplace(chosen, prompt, prompt);
--- a/Libraries/LibServing/PlacementRate.h
+++ b/Libraries/LibServing/PlacementRate.h
@@ -15,7 +15,7 @@
 /// are spread over the hosts of a domain, so that they place about as fast.
 class PlacementRate {
 public:
-    void note(Instant now)
+    void record(Instant now)
     {
         this->per_second = this->current(now) + 1 / AK::to_seconds(time_constant);
         this->noted_at = now;
--- a/Tests/LibServing/TestLateBeliefs.cpp
+++ b/Tests/LibServing/TestLateBeliefs.cpp
@@ -104,7 +104,7 @@
     CHECK(pace.unseen(now, 59, 250ms) == 0);
     for (int i = 0; i < 65; ++i) {
         now += 1540ms;
-        pace.note(now);
+        pace.record(now);
     }
     CHECK(pace.unseen(now, 59, 250ms) == Approx(0.65 * 59 * 0.25).epsilon(0.1));
     THEN("it is next to nothing where a few hosts hear of each other within milliseconds")
