--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -389,7 +389,7 @@
     this->use.heard(MemberId(name), message, this->context.backends, now);
     if (message.engines_size() > 0)
         this->tell_domain_changes_soon();
-    take_suspicions(this->context, MemberId(name), message);
+    apply_suspicions(this->context, MemberId(name), message);
     this->heard_leaving(message);
     this->heard_ended(message);
     take_refusals(this->context, message);
--- a/Libraries/LibServing/Suspicion.cpp
+++ b/Libraries/LibServing/Suspicion.cpp
@@ -26,7 +26,7 @@
         context.backend_unreachable(backend, avoidance);
 }
 
-void take_suspicions(ServingContext& context, MemberId const& host, wire::HostUse const& message)
+void apply_suspicions(ServingContext& context, MemberId const& host, wire::HostUse const& message)
 {
     auto now = context.now();
     for (auto const& said : message.unreachable()) {
--- a/Libraries/LibServing/Suspicion.h
+++ b/Libraries/LibServing/Suspicion.h
@@ -25,6 +25,6 @@
 void suspect(ServingContext&, Backend& backend, Failure const&);
 
 /// Takes in which backend servers `host` could not connect to. Those that several hosts say so of are avoided here too.
-void take_suspicions(ServingContext&, MemberId const& host, wire::HostUse const&);
+void apply_suspicions(ServingContext&, MemberId const& host, wire::HostUse const&);
 
 }
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -53,7 +53,7 @@
         unreachable.set_backend(id.value());
         unreachable.set_start(start);
         unreachable.set_avoided_milliseconds(2000);
-        take_suspicions(this->context, MemberId(peer), message);
+        apply_suspicions(this->context, MemberId(peer), message);
     }
 
     Http::asio::io_context loop;
--- a/Tests/LibServing/TestSuspicion.cpp
+++ b/Tests/LibServing/TestSuspicion.cpp
@@ -31,7 +31,7 @@
         auto& unreachable = *message.add_unreachable();
         unreachable.set_backend("e1");
         unreachable.set_avoided_milliseconds(avoided_milliseconds);
-        take_suspicions(this->context, MemberId(host), message);
+        apply_suspicions(this->context, MemberId(host), message);
     }
 
     [[nodiscard]] bool is_avoided() const { return this->backend->is_avoided(this->now); }
@@ -102,7 +102,7 @@
     {
         wire::HostUse message;
         message.add_unreachable()->set_backend("stranger");
-        take_suspicions(fixture.context, MemberId("host-2"), message);
+        apply_suspicions(fixture.context, MemberId("host-2"), message);
         CHECK_FALSE(fixture.is_avoided());
     }
 }
