--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -227,7 +227,7 @@
     {
         if (this->answer.is_misdirected)
             return this->context.backend_ended(backend);
-        note_refusal(this->context, backend, this->attempt(), "status " + std::to_string(this->answer_status()));
+        record_refusal(this->context, backend, this->attempt(), "status " + std::to_string(this->answer_status()));
     }
 
     /// Keeps what the backend server says of its load, if it says anything.
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -32,7 +32,7 @@
         .with("reason", reason);
 }
 
-void note_refusal(ServingContext& context, Backend& backend, std::string const& request, std::string_view reason)
+void record_refusal(ServingContext& context, Backend& backend, std::string const& request, std::string_view reason)
 {
     auto& health = backend.health;
     // Where all are avoided they are tried all the same; that is no news, and the time of the next try stays.
--- a/Libraries/LibServing/Refusal.h
+++ b/Libraries/LibServing/Refusal.h
@@ -15,7 +15,7 @@
 /// and would draw every host: it is avoided for a while, longer with each refusal that follows another, and the other
 /// hosts are told. The word of one is believed, since it is the backend server's own. Where all are avoided they are
 /// chosen as before.
-void note_refusal(ServingContext&, Backend&, std::string const& request, std::string_view reason);
+void record_refusal(ServingContext&, Backend&, std::string const& request, std::string_view reason);
 
 /// Takes in which backend servers have refused requests of another host.
 void take_refusals(ServingContext&, wire::HostUse const&);
--- a/Tests/LibServing/TestRefusal.cpp
+++ b/Tests/LibServing/TestRefusal.cpp
@@ -95,7 +95,7 @@
             if (!refuses)
                 return this->take(*chosen);
             ++this->refused;
-            note_refusal(host, *chosen, "g1", "status 429");
+            record_refusal(host, *chosen, "g1", "status 429");
         }
         ++this->lost;
     }
@@ -183,12 +183,12 @@
     server.address = Address("127.0.0.1:1000");
     auto engine = host.backends.update(server, now);
 
-    note_refusal(host, *engine, "g1", "status 503");
+    record_refusal(host, *engine, "g1", "status 503");
     CHECK(engine->is_avoided(now));
     CHECK(told == 1);
     THEN("one more meanwhile is no news")
     {
-        note_refusal(host, *engine, "g2", "status 503");
+        record_refusal(host, *engine, "g2", "status 503");
         CHECK(told == 1);
         CHECK(engine->health.refusals_in_a_row == 1);
     }
@@ -198,7 +198,7 @@
         CHECK_FALSE(engine->is_avoided(now));
         AND_WHEN("it refuses again")
         {
-            note_refusal(host, *engine, "g2", "status 503");
+            record_refusal(host, *engine, "g2", "status 503");
             now += 499ms;
             CHECK(engine->is_avoided(now));
             now += 1ms;
@@ -219,7 +219,7 @@
     {
         for (int i = 0; i < 20; ++i) {
             now = std::max(now, engine->health.refused_until);
-            note_refusal(host, *engine, "g2", "status 503");
+            record_refusal(host, *engine, "g2", "status 503");
         }
         THEN("it is tried all the same every four seconds") { CHECK(engine->health.refused_until == now + 4s); }
     }
