--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -392,7 +392,7 @@
     apply_suspicions(this->context, MemberId(name), message);
     this->heard_leaving(message);
     this->heard_ended(message);
-    take_refusals(this->context, message);
+    apply_refusals(this->context, message);
     take_request_ends(this->context, message);
     take_limits(this->context, message);
     this->heard_progress(sender, message);
@@ -419,7 +419,7 @@
     this->use.heard(MemberId(domain.value()), message, this->context.backends, now);
     this->heard_leaving(message);
     this->heard_ended(message);
-    take_refusals(this->context, message);
+    apply_refusals(this->context, message);
     take_request_ends(this->context, message);
     take_limits(this->context, message);
     this->heard_progress(sender, message);
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -44,7 +44,7 @@
     context.backend_refuses(backend);
 }
 
-void take_refusals(ServingContext& context, wire::HostUse const& message)
+void apply_refusals(ServingContext& context, wire::HostUse const& message)
 {
     for (auto const& said : message.refusing()) {
         auto backend = context.backends.find(EngineId(said.backend()));
--- a/Libraries/LibServing/Refusal.h
+++ b/Libraries/LibServing/Refusal.h
@@ -18,6 +18,6 @@
 void record_refusal(ServingContext&, Backend&, std::string const& request, std::string_view reason);
 
 /// Takes in which backend servers have refused requests of another host.
-void take_refusals(ServingContext&, wire::HostUse const&);
+void apply_refusals(ServingContext&, wire::HostUse const&);
 
 }
--- a/Tests/LibServing/TestRefusal.cpp
+++ b/Tests/LibServing/TestRefusal.cpp
@@ -77,7 +77,7 @@
         for (; !this->words.empty() && this->words.front().comes_at <= this->now; this->words.pop_front()) {
             for (auto& host : this->hosts) {
                 if (&host != this->words.front().from)
-                    take_refusals(host, this->words.front().message);
+                    apply_refusals(host, this->words.front().message);
             }
         }
     }
@@ -229,7 +229,7 @@
         message.add_refusing()->set_backend("stranger");
         message.add_refusing()->set_backend("e1");
         now += 1s;
-        take_refusals(host, message);
+        apply_refusals(host, message);
         CHECK_FALSE(engine->is_avoided(now));
     }
 }
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -132,7 +132,7 @@
             auto& refusing = *message.add_refusing();
             refusing.set_backend("a");
             refusing.set_refusals(1);
-            take_refusals(host.context, message);
+            apply_refusals(host.context, message);
             THEN("that changes nothing") { holds_until_then(); }
         }
         WHEN("its entry lapses and comes back")
