--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -10,7 +10,7 @@
 #include <LibHttp/Exchange.h>
 #include <LibServing/Answers.h>
 #include <LibServing/Dialect.h>
-#include <LibServing/NamedLimit.h>
+#include <LibServing/RateLimit.h>
 #include <LibServing/Refusal.h>
 #include <LibServing/RequestEnds.h>
 #include <LibServing/ServerNotice.h>
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/NamedLimit.h>
 #include <LibServing/PeerLink.h>
+#include <LibServing/RateLimit.h>
 #include <LibServing/Refusal.h>
 #include <LibServing/Relays.h>
 #include <LibServing/RequestEnds.h>
--- a/Libraries/LibServing/NamedLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/NamedLimit.h>
+#include <LibServing/RateLimit.h>
 #include <cmath>
 
 namespace Serving {
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -273,7 +273,7 @@
     Libraries/LibServing/ServerLimits.cpp "< this->own_part(backend, *bound, now)" "< bound->requests"
 guard "named limits: the later word holds" TestLibServing \
     "Scenario: a server's last word of its limit holds, by whichever host it comes" \
-    Libraries/LibServing/NamedLimit.cpp "if (backend->limit_heard_at && *backend->limit_heard_at >= heard_at)" "if (false)"
+    Libraries/LibServing/RateLimit.cpp "if (backend->limit_heard_at && *backend->limit_heard_at >= heard_at)" "if (false)"
 guard "named limits: callers are sent elsewhere" TestHosts \
     "Scenario: all hosts together send a server no more than the limit that it names" \
     Libraries/LibServing/ServerLimits.cpp "&& this->is_kept(this->named_bound(backend, now), backend, now)" ""
--- a/Tests/LibServing/TestNamedLimit.cpp
+++ b/Tests/LibServing/TestRateLimit.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <LibServing/BackendChooser.h>
-#include <LibServing/NamedLimit.h>
+#include <LibServing/RateLimit.h>
 #include <catch2/catch.hpp>
 
 using namespace Serving;
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -6,7 +6,7 @@
 
 #include <LibServing/Admission.h>
 #include <LibServing/BackendList.h>
-#include <LibServing/NamedLimit.h>
+#include <LibServing/RateLimit.h>
 #include <LibServing/Refusal.h>
 #include <LibServing/ServerNotice.h>
 #include <rapidcheck/catch.h>
