--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -134,7 +134,7 @@
         this->note_load(backend, decoded);
         // Another process's answer says nothing of this one.
         if (!decoded.is_misdirected)
-            note_limit(this->context, backend, decoded.limit);
+            record_rate_limit(this->context, backend, decoded.limit);
         return true;
     }
 
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -26,7 +26,7 @@
         std::move(line).with("per_second", "none");
 }
 
-void note_limit(ServingContext& context, Backend& backend, std::optional<RequestRate> limit)
+void record_rate_limit(ServingContext& context, Backend& backend, std::optional<RequestRate> limit)
 {
     if (!limit && !backend.limit)
         return;
--- a/Libraries/LibServing/RateLimit.h
+++ b/Libraries/LibServing/RateLimit.h
@@ -13,7 +13,7 @@
 
 /// An answer of `backend` names the requests that it takes from all hosts together, or does not any more. The other
 /// hosts are told.
-void note_limit(ServingContext&, Backend& backend, std::optional<RequestRate> limit);
+void record_rate_limit(ServingContext&, Backend& backend, std::optional<RequestRate> limit);
 
 /// Takes in what backend servers have named to other hosts; of two words of one server the later one holds.
 void take_limits(ServingContext&, wire::HostUse const&);
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -246,7 +246,7 @@
                 continue;
             auto backend = answer.host->context->backends.find(answer.server);
             --backend->in_flight;
-            note_limit(*answer.host->context, *backend, answer.limit);
+            record_rate_limit(*answer.host->context, *backend, answer.limit);
             auto const& server = *std::ranges::find(this->servers, answer.server, &Server::id);
             if (answer.limit && answer.limit == server.limit)
                 answer.host->passed_on_at.try_emplace(answer.server, this->now);
--- a/Tests/LibServing/TestRateLimit.cpp
+++ b/Tests/LibServing/TestRateLimit.cpp
@@ -31,7 +31,7 @@
         this->backend = this->context.backends.update(server, this->now);
     }
 
-    void hear(std::optional<double> per_second) { note_limit(this->context, *this->backend, rate(per_second)); }
+    void hear(std::optional<double> per_second) { record_rate_limit(this->context, *this->backend, rate(per_second)); }
     void be_told(double per_second, u32 age_milliseconds, i64 start = 7)
     {
         wire::HostUse message;
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -309,10 +309,10 @@
                 until[id] = std::max(until[id], host.now + span);
                 break;
             case 1:
-                note_limit(host.context, *host.server(id), RequestRate(1 + amount % 8));
+                record_rate_limit(host.context, *host.server(id), RequestRate(1 + amount % 8));
                 break;
             case 2:
-                note_limit(host.context, *host.server(id), {});
+                record_rate_limit(host.context, *host.server(id), {});
                 break;
             case 3:
                 head.is_leaving = amount % 16 == 0;
