--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -394,7 +394,7 @@
     this->heard_ended(message);
     apply_refusals(this->context, message);
     take_request_ends(this->context, message);
-    take_limits(this->context, message);
+    apply_rate_limits(this->context, message);
     this->heard_progress(sender, message);
     if (message.wants_answer())
         this->send_whole(sender, false);
@@ -421,7 +421,7 @@
     this->heard_ended(message);
     apply_refusals(this->context, message);
     take_request_ends(this->context, message);
-    take_limits(this->context, message);
+    apply_rate_limits(this->context, message);
     this->heard_progress(sender, message);
 }
 
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -42,7 +42,7 @@
     context.limit_changed(backend);
 }
 
-void take_limits(ServingContext& context, wire::HostUse const& message)
+void apply_rate_limits(ServingContext& context, wire::HostUse const& message)
 {
     for (auto const& said : message.limits()) {
         auto backend = context.backends.find(EngineId(said.backend()));
--- a/Libraries/LibServing/RateLimit.h
+++ b/Libraries/LibServing/RateLimit.h
@@ -16,7 +16,7 @@
 void record_rate_limit(ServingContext&, Backend& backend, std::optional<RequestRate> limit);
 
 /// Takes in what backend servers have named to other hosts; of two words of one server the later one holds.
-void take_limits(ServingContext&, wire::HostUse const&);
+void apply_rate_limits(ServingContext&, wire::HostUse const&);
 
 /// Adds to a message what `backend` has named last.
 void put_limit(wire::HostUse&, ServingContext const&, Backend const& backend);
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -192,7 +192,8 @@
     void hear()
     {
         for (auto& host : this->hosts)
-            host.inbox.hear(this->now, [&](wire::HostUse const& message) { take_limits(*host.context, message); });
+            host.inbox.hear(
+                this->now, [&](wire::HostUse const& message) { apply_rate_limits(*host.context, message); });
     }
 
     void tell_whole()
--- a/Tests/LibServing/TestRateLimit.cpp
+++ b/Tests/LibServing/TestRateLimit.cpp
@@ -40,7 +40,7 @@
         said.set_start(start);
         said.set_requests_per_second(per_second);
         said.set_age_milliseconds(age_milliseconds);
-        take_limits(this->context, message);
+        apply_rate_limits(this->context, message);
     }
     [[nodiscard]] bool believes(std::optional<double> per_second) const
     {
