--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -117,7 +117,7 @@
 void PeerLink::tell_limit(Backend const& backend)
 {
     wire::HostUse message;
-    put_limit(message, this->context, backend);
+    put_rate_limit(message, this->context, backend);
     this->broadcast(message);
     this->send_elsewhere(std::move(message));
 }
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -63,7 +63,7 @@
     }
 }
 
-void put_limit(wire::HostUse& message, ServingContext const& context, Backend const& backend)
+void put_rate_limit(wire::HostUse& message, ServingContext const& context, Backend const& backend)
 {
     constexpr double no_limit = -1;
     auto& said = *message.add_limits();
@@ -81,7 +81,7 @@
         bool const is_recent = backend->limit_heard_at && context.now() - *backend->limit_heard_at < told_again_for;
         bool const is_meant = scope == LimitScope::All || backend->limit_is_own_word;
         if (is_recent && is_meant && told++ < most_told_at_once)
-            put_limit(message, context, *backend);
+            put_rate_limit(message, context, *backend);
     }
 }
 
--- a/Libraries/LibServing/RateLimit.h
+++ b/Libraries/LibServing/RateLimit.h
@@ -19,7 +19,7 @@
 void apply_rate_limits(ServingContext&, wire::HostUse const&);
 
 /// Adds to a message what `backend` has named last.
-void put_limit(wire::HostUse&, ServingContext const&, Backend const& backend);
+void put_rate_limit(wire::HostUse&, ServingContext const&, Backend const& backend);
 
 enum class LimitScope : u8 {
     /// What servers have named to this host.
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -159,7 +159,7 @@
         host.context->clock = [this] { return this->now; };
         host.context->limit_changed = [this, &host](Backend const& backend) {
             wire::HostUse message;
-            put_limit(message, *host.context, backend);
+            put_rate_limit(message, *host.context, backend);
             this->tell(host, message);
         };
         for (auto const& server : this->servers) {
--- a/Tests/LibServing/TestRateLimit.cpp
+++ b/Tests/LibServing/TestRateLimit.cpp
@@ -20,7 +20,7 @@
         this->context.clock = [this] { return this->now; };
         this->context.limit_changed = [this](Backend const& changed) {
             wire::HostUse message;
-            put_limit(message, this->context, changed);
+            put_rate_limit(message, this->context, changed);
             this->words.push_back(message);
         };
         BackendServer server;
