--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -244,7 +244,7 @@
         if (this->own_place_among_speakers() < Reach::speakers_of_domain) {
             auto message = this->told_elsewhere.whole(this->context.backends);
             this->complete_whole(message, period);
-            put_recent_limits(message, this->context, LimitScope::All);
+            put_recent_rate_limits(message, this->context, LimitScope::All);
             this->send_elsewhere(std::move(message));
         }
         this->schedule_digest();
@@ -309,7 +309,7 @@
 {
     auto message = this->told.whole(this->context.backends);
     this->complete_whole(message, this->period());
-    put_recent_limits(message, this->context, LimitScope::Own);
+    put_recent_rate_limits(message, this->context, LimitScope::Own);
     this->broadcast(message);
 }
 
@@ -330,7 +330,7 @@
     message.set_wants_answer(wants_answer);
     message.clear_ending();
     put_all_request_ends(message, this->context);
-    put_recent_limits(message, this->context, LimitScope::All);
+    put_recent_rate_limits(message, this->context, LimitScope::All);
     this->send(std::span(&peer, 1), std::move(message));
 }
 
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -74,7 +74,7 @@
     said.set_age_milliseconds(static_cast<u32>(AK::to_milliseconds(age)));
 }
 
-void put_recent_limits(wire::HostUse& message, ServingContext const& context, LimitScope scope)
+void put_recent_rate_limits(wire::HostUse& message, ServingContext const& context, LimitScope scope)
 {
     size_t told = 0;
     for (auto const& [id, backend] : context.backends.all()) {
--- a/Libraries/LibServing/RateLimit.h
+++ b/Libraries/LibServing/RateLimit.h
@@ -29,6 +29,6 @@
 };
 
 /// Adds to a whole message what backend servers have named lately.
-void put_recent_limits(wire::HostUse&, ServingContext const&, LimitScope);
+void put_recent_rate_limits(wire::HostUse&, ServingContext const&, LimitScope);
 
 }
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -203,7 +203,7 @@
                 continue;
             host.next_talk = this->now + talk_period;
             wire::HostUse message;
-            put_recent_limits(message, *host.context, LimitScope::Own);
+            put_recent_rate_limits(message, *host.context, LimitScope::Own);
             if (message.limits_size() > 0)
                 this->tell(host, message);
         }
