--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -34,14 +34,14 @@
 {
     constexpr double most = 1e9;
     // One at least: it finds out what the limit is then.
-    return static_cast<u32>(std::clamp(limit.value() * AK::to_seconds(named_span), 1.0, most));
+    return static_cast<u32>(std::clamp(limit.value() * AK::to_seconds(rate_limit_window), 1.0, most));
 }
 
 std::optional<ServerLimits::Bound> ServerLimits::named_bound(Backend const& backend, Instant now) const
 {
     if (!backend.limit || now - *backend.limit_heard_at >= this->limit_lifetime)
         return {};
-    return Bound { Ground::Named, requests_in_span(*backend.limit), named_span + longest_delay };
+    return Bound { Ground::Named, requests_in_span(*backend.limit), rate_limit_window + longest_delay };
 }
 
 std::optional<ServerLimits::Bound> ServerLimits::bound_while_cold(Backend const& backend, Instant now) const
@@ -87,7 +87,7 @@
 void ServerLimits::note_sent(Backend& backend, Instant now)
 {
     // Always, since what was sent before a limit was heard of counts as well.
-    backend.sent.add(now, named_span + longest_delay);
+    backend.sent.add(now, rate_limit_window + longest_delay);
 }
 
 }
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -26,14 +26,14 @@
     {
     }
 
-    /// How many requests of all hosts a server that names a limit gets in any `named_span`.
+    /// How many requests of all hosts a server that names a limit gets in any `rate_limit_window`.
     [[nodiscard]] static u32 requests_in_span(RequestRate);
 
     /// The configuration that is in force from now on.
     void configure(std::shared_ptr<RoutingTable const> routing) { this->routing = std::move(routing); }
 
     /// In which a server gets as many as it has named a limit for.
-    static constexpr Duration named_span = 4s;
+    static constexpr Duration rate_limit_window = 4s;
 
     /// Whether one more request may be sent there now.
     [[nodiscard]] bool may_send(Backend const&, Instant now) const;
