--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -105,7 +105,7 @@
     void dispatch_to(BackendPointer const& target, std::optional<Continuation> continuation)
     {
         this->backend = target;
-        this->context.server_limits.note_sent(*target, this->context.now());
+        this->context.server_limits.record_sent(*target, this->context.now());
         this->forget_answer();
         this->reader = {};
         this->connection = this->context.connections.make_new(target->endpoint);
--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -84,7 +84,7 @@
         && this->is_kept(this->named_bound(backend, now), backend, now);
 }
 
-void ServerLimits::note_sent(Backend& backend, Instant now)
+void ServerLimits::record_sent(Backend& backend, Instant now)
 {
     // Always, since what was sent before a limit was heard of counts as well.
     backend.sent.add(now, rate_limit_window + longest_delay);
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -38,7 +38,7 @@
     /// Whether one more request may be sent there now.
     [[nodiscard]] bool may_send(Backend const&, Instant now) const;
     /// A request is being sent there.
-    static void note_sent(Backend&, Instant now);
+    static void record_sent(Backend&, Instant now);
 
 private:
     /// What a backend server bears, and why.
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -46,7 +46,7 @@
         this->tried.push_back(this->backend->server.id);
         ++this->handovers;
         ++this->backend->in_flight;
-        this->context.server_limits.note_sent(*this->backend, this->context.now());
+        this->context.server_limits.record_sent(*this->backend, this->context.now());
         this->forget_answer();
         this->connection = this->context.connections.acquire(this->backend->endpoint);
         this->is_on_new_connection = this->connection->is_new();
--- a/Tests/Fleet/TestColdServers.cpp
+++ b/Tests/Fleet/TestColdServers.cpp
@@ -176,7 +176,7 @@
             auto backend = host.table.find(id);
             // Once it is warm the bound is over.
             while (this->now < backend->cold_until && host.server_limits->may_send(*backend, this->now)) {
-                host.server_limits->note_sent(*backend, this->now);
+                host.server_limits->record_sent(*backend, this->now);
                 this->arrivals[{ id, server.start }].push_back(
                     this->now + std::chrono::milliseconds(delay(this->random)));
             }
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -218,7 +218,7 @@
             ++this->refused_calls;
             return;
         }
-        context.server_limits.note_sent(*chosen, this->now);
+        context.server_limits.record_sent(*chosen, this->now);
         auto& server = *std::ranges::find(this->servers, chosen->server.id, &Server::id);
         server.arrivals.push_back(this->now);
         auto const passed_on = host.passed_on_at.find(server.id);
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -343,7 +343,7 @@
                         sent[chosen_id], [&](Instant at) { return host.now - at < ServerLimits::rate_limit_window; });
                     RC_ASSERT(static_cast<u32>(lately) < ServerLimits::requests_in_span(*chosen->limit));
                 }
-                ServerLimits::note_sent(*chosen, host.now);
+                ServerLimits::record_sent(*chosen, host.now);
                 sent[chosen_id].push_back(host.now);
             }
             }
