--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -55,7 +55,7 @@
     return Bound { Ground::Cold, requests, cold_span + longest_delay };
 }
 
-u32 ServerLimits::own_part(Backend const& backend, Bound const& bound, Instant now) const
+u32 ServerLimits::own_share(Backend const& backend, Bound const& bound, Instant now) const
 {
     std::erase_if(this->parts, [now](auto const& entry) { return now - entry.second.worked_out_at >= part_lifetime; });
     auto const& server = backend.server;
@@ -75,7 +75,7 @@
     // What this host's former process sent counts as well, and it has left the span by then.
     if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->span)
         return false;
-    return backend.sent.upper_bound_within(bound->span, now) < this->own_part(backend, *bound, now);
+    return backend.sent.upper_bound_within(bound->span, now) < this->own_share(backend, *bound, now);
 }
 
 bool ServerLimits::may_send(Backend const& backend, Instant now) const
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -237,7 +237,7 @@
     Libraries/LibServing/GenerationMove.h "if (this->chosen->is_evacuated)" "if (false)"
 guard "cold servers: each host has its part" TestFleet \
     "Scenario: all hosts together send a cold server no more than it bears" \
-    Libraries/LibServing/ServerLimits.cpp "< this->own_part(backend, *bound, now)" "< bound->requests"
+    Libraries/LibServing/ServerLimits.cpp "< this->own_share(backend, *bound, now)" "< bound->requests"
 guard "cold servers: a host that starts has none" TestFleet \
     "Scenario: all hosts together send a cold server no more than it bears" \
     Libraries/LibServing/ServerLimits.cpp "if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->span)" "if (false)"
@@ -270,7 +270,7 @@
     Libraries/LibServing/QuarantineTable.h "this->unwritten[key] = row.SerializeAsString();" "this->unwritten.erase(key);"
 guard "named limits: each host has its part" TestFleet \
     "Scenario: hosts of any number send a server no more than the limit that it names" \
-    Libraries/LibServing/ServerLimits.cpp "< this->own_part(backend, *bound, now)" "< bound->requests"
+    Libraries/LibServing/ServerLimits.cpp "< this->own_share(backend, *bound, now)" "< bound->requests"
 guard "named limits: the later word holds" TestLibServing \
     "Scenario: a server's last word of its limit holds, by whichever host it comes" \
     Libraries/LibServing/RateLimit.cpp "if (backend->limit_heard_at && *backend->limit_heard_at >= heard_at)" "if (false)"
