--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -68,7 +68,7 @@
     return part.units;
 }
 
-bool ServerLimits::is_kept(std::optional<Bound> const& bound, Backend const& backend, Instant now) const
+bool ServerLimits::is_within(std::optional<Bound> const& bound, Backend const& backend, Instant now) const
 {
     if (!bound)
         return true;
@@ -80,8 +80,8 @@
 
 bool ServerLimits::may_send(Backend const& backend, Instant now) const
 {
-    return this->is_kept(this->bound_while_cold(backend, now), backend, now)
-        && this->is_kept(this->named_bound(backend, now), backend, now);
+    return this->is_within(this->bound_while_cold(backend, now), backend, now)
+        && this->is_within(this->named_bound(backend, now), backend, now);
 }
 
 void ServerLimits::record_sent(Backend& backend, Instant now)
