--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -37,7 +37,7 @@
     return static_cast<u32>(std::clamp(limit.value() * AK::to_seconds(rate_limit_window), 1.0, most));
 }
 
-std::optional<ServerLimits::Bound> ServerLimits::named_bound(Backend const& backend, Instant now) const
+std::optional<ServerLimits::Bound> ServerLimits::rate_limit_bound(Backend const& backend, Instant now) const
 {
     if (!backend.limit || now - *backend.limit_heard_at >= this->limit_lifetime)
         return {};
@@ -81,7 +81,7 @@
 bool ServerLimits::may_send(Backend const& backend, Instant now) const
 {
     return this->is_within(this->bound_while_cold(backend, now), backend, now)
-        && this->is_within(this->named_bound(backend, now), backend, now);
+        && this->is_within(this->rate_limit_bound(backend, now), backend, now);
 }
 
 void ServerLimits::record_sent(Backend& backend, Instant now)
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -55,7 +55,7 @@
         Duration span;
     };
     [[nodiscard]] std::optional<Bound> bound_while_cold(Backend const&, Instant now) const;
-    [[nodiscard]] std::optional<Bound> named_bound(Backend const&, Instant now) const;
+    [[nodiscard]] std::optional<Bound> rate_limit_bound(Backend const&, Instant now) const;
     [[nodiscard]] bool is_within(std::optional<Bound> const&, Backend const&, Instant now) const;
     [[nodiscard]] u32 own_share(Backend const&, Bound const&, Instant now) const;
 
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -276,7 +276,7 @@
     Libraries/LibServing/RateLimit.cpp "if (backend->limit_heard_at && *backend->limit_heard_at >= heard_at)" "if (false)"
 guard "named limits: callers are sent elsewhere" TestHosts \
     "Scenario: all hosts together send a server no more than the limit that it names" \
-    Libraries/LibServing/ServerLimits.cpp "&& this->is_within(this->named_bound(backend, now), backend, now)" ""
+    Libraries/LibServing/ServerLimits.cpp "&& this->is_within(this->rate_limit_bound(backend, now), backend, now)" ""
 guard "back-off: a bar, not a cost" TestHosts \
     "Scenario: a host sends a server nothing in the time for which that asked it for back-off" \
     Libraries/LibServing/BackendTable.h "&& now >= this->back_off_until" ""
@@ -301,7 +301,7 @@
 soak_guard "a planned stop waits" Libraries/LibServing/PlannedStop.cpp \
     "if (is_drained || elapsed >= this->context.settings.stop_grace - last_answers_margin)" "if (true)"
 soak_guard "named limits are kept" Libraries/LibServing/ServerLimits.cpp \
-    "&& this->is_within(this->named_bound(backend, now), backend, now)" ""
+    "&& this->is_within(this->rate_limit_bound(backend, now), backend, now)" ""
 soak_guard "back-off is kept" Libraries/LibServing/BackendTable.h "&& now >= this->back_off_until" ""
 soak_guard "leaving servers get nothing new" Libraries/LibServing/BackendTable.h \
     "this->availability == Availability::Serving && " ""
