--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -44,7 +44,7 @@
     return Bound { Ground::Named, requests_in_span(*backend.limit), rate_limit_window + longest_delay };
 }
 
-std::optional<ServerLimits::Bound> ServerLimits::bound_while_cold(Backend const& backend, Instant now) const
+std::optional<ServerLimits::Bound> ServerLimits::cold_start_bound(Backend const& backend, Instant now) const
 {
     if (now >= backend.cold_until || !this->routing)
         return {};
@@ -80,7 +80,7 @@
 
 bool ServerLimits::may_send(Backend const& backend, Instant now) const
 {
-    return this->is_within(this->bound_while_cold(backend, now), backend, now)
+    return this->is_within(this->cold_start_bound(backend, now), backend, now)
         && this->is_within(this->rate_limit_bound(backend, now), backend, now);
 }
 
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -54,7 +54,7 @@
         u32 requests;
         Duration span;
     };
-    [[nodiscard]] std::optional<Bound> bound_while_cold(Backend const&, Instant now) const;
+    [[nodiscard]] std::optional<Bound> cold_start_bound(Backend const&, Instant now) const;
     [[nodiscard]] std::optional<Bound> rate_limit_bound(Backend const&, Instant now) const;
     [[nodiscard]] bool is_within(std::optional<Bound> const&, Backend const&, Instant now) const;
     [[nodiscard]] u32 own_share(Backend const&, Bound const&, Instant now) const;
