--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -9,7 +9,8 @@
 
 namespace Serving {
 
-Quarantine::Change Quarantine::note_end(RequestFingerprint const& request, ServerProcess const& process, Instant now)
+Quarantine::Change Quarantine::record_termination(
+    RequestFingerprint const& request, ServerProcess const& process, Instant now)
 {
     return this->merge(request, { process }, 0s, now);
 }
--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -52,7 +52,7 @@
     };
 
     /// This host has seen `process` end under the request, and did not expect it.
-    Change note_end(RequestFingerprint const&, ServerProcess const& process, Instant now);
+    Change record_termination(RequestFingerprint const&, ServerProcess const& process, Instant now);
     /// Another host knows that these processes have ended under the request, and holds it back for so long.
     Change merge(RequestFingerprint const&, std::set<ServerProcess> const& ended, Duration held_for, Instant now);
     /// The request has run to its end somewhere. Answers whether it was suspected or held back.
--- a/Libraries/LibServing/RequestEnds.cpp
+++ b/Libraries/LibServing/RequestEnds.cpp
@@ -39,7 +39,7 @@
 void note_end_under(ServingContext& context, RequestFingerprint const& request, Backend const& backend)
 {
     auto const change
-        = context.quarantine.note_end(request, { backend.server.id, backend.server.start }, context.now());
+        = context.quarantine.record_termination(request, { backend.server.id, backend.server.start }, context.now());
     if (change == Quarantine::Change::Nothing)
         return;
     apply(context, request, change);
--- a/Tests/LibServing/TestQuarantine.cpp
+++ b/Tests/LibServing/TestQuarantine.cpp
@@ -27,13 +27,13 @@
     Quarantine quarantine;
     Instant now { 100s };
     auto const guilty = request(1);
-    CHECK(quarantine.note_end(guilty, process(1), now) == Change::Suspected);
-    CHECK(quarantine.note_end(guilty, process(1), now) == Change::Nothing);
-    CHECK(quarantine.note_end(guilty, process(1, 2), now) == Change::Suspected);
+    CHECK(quarantine.record_termination(guilty, process(1), now) == Change::Suspected);
+    CHECK(quarantine.record_termination(guilty, process(1), now) == Change::Nothing);
+    CHECK(quarantine.record_termination(guilty, process(1, 2), now) == Change::Suspected);
 
     WHEN("a third process ends")
     {
-        CHECK(quarantine.note_end(guilty, process(2), now) == Change::Held);
+        CHECK(quarantine.record_termination(guilty, process(2), now) == Change::Held);
         THEN("it is held back for an hour, and no other request is")
         {
             CHECK(quarantine.held_for(guilty, now) == Quarantine::remembered_for);
@@ -93,22 +93,22 @@
     auto const innocent = request(2);
     GIVEN("three servers that end under both, the innocent one being noted first")
     {
-        quarantine.note_end(innocent, process(1), now);
-        quarantine.note_end(guilty, process(1), now);
-        quarantine.note_end(innocent, process(2), now);
-        quarantine.note_end(guilty, process(2), now);
-        quarantine.note_end(guilty, process(3), now);
+        quarantine.record_termination(innocent, process(1), now);
+        quarantine.record_termination(guilty, process(1), now);
+        quarantine.record_termination(innocent, process(2), now);
+        quarantine.record_termination(guilty, process(2), now);
+        quarantine.record_termination(guilty, process(3), now);
         CHECK(quarantine.held_for(guilty, now));
         THEN("nothing is left of the innocent one's")
         {
             CHECK(!quarantine.all().contains(innocent));
-            CHECK(quarantine.note_end(innocent, process(3), now) == Change::Nothing);
+            CHECK(quarantine.record_termination(innocent, process(3), now) == Change::Nothing);
         }
         WHEN("a run of the guilty one that was under way ends a fourth")
         {
-            quarantine.note_end(innocent, process(4), now);
+            quarantine.record_termination(innocent, process(4), now);
             CHECK(quarantine.all().contains(innocent));
-            quarantine.note_end(guilty, process(4), now);
+            quarantine.record_termination(guilty, process(4), now);
             THEN("that is not the innocent one's either") { CHECK(!quarantine.all().contains(innocent)); }
         }
     }
@@ -120,10 +120,10 @@
     Instant now { 100s };
     auto const guilty = request(1, "market");
     for (int i = 0; i < 3; ++i)
-        quarantine.note_end(guilty, process(i), now);
+        quarantine.record_termination(guilty, process(i), now);
     for (u64 i = 0; i < 10'000; ++i) {
         now += 1ms;
-        quarantine.note_end(request(i), process(static_cast<int>(10 + i)), now);
+        quarantine.record_termination(request(i), process(static_cast<int>(10 + i)), now);
     }
     CHECK(quarantine.held_for(guilty, now));
     CHECK(quarantine.all().size() < 100);
@@ -171,7 +171,7 @@
         now += 50ms;
         auto const innocent = request(static_cast<u64>(i));
         while (is_cut(random) && !quarantine.held_for(innocent, now))
-            quarantine.note_end(innocent, process(++crashes), now);
+            quarantine.record_termination(innocent, process(++crashes), now);
         held += quarantine.held_for(innocent, now) ? 1 : 0;
         quarantine.clear(innocent, now);
     }
