--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -42,7 +42,7 @@
             entry.ended.insert(process);
     }
     entry.changed_at = now;
-    bool const has_enough = entry.ended.size() >= ends_until_held;
+    bool const has_enough = entry.ended.size() >= terminations_until_quarantine;
     if (is_told_held || has_enough) {
         auto const until = now + (has_enough && !news.empty() ? remembered_for : std::min(told_hold, remembered_for));
         entry.held_until = std::max(entry.held_until.value_or(until), until);
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -131,7 +131,7 @@
         Backend server;
         server.server.id = EngineId("e" + std::to_string(++this->servers_ended));
         this->ends.push_back({ this->now + time_to_end, &host, this->now, server });
-        if (this->servers_ended == Quarantine::ends_until_held)
+        if (this->servers_ended == Quarantine::terminations_until_quarantine)
             this->enough_ended_at = this->now + time_to_end;
         bool const is_in_touch = this->now - host.started_at >= contact_time;
         if (this->enough_ended_at && this->now - *this->enough_ended_at > contact_time && is_in_touch)
@@ -165,7 +165,7 @@
         EndingFleet fleet(host_count, 0);
         fleet.run(15s, 400ms);
         CHECK(fleet.reached_later() == 0);
-        CHECK(fleet.ended() <= Quarantine::ends_until_held + 3);
+        CHECK(fleet.ended() <= Quarantine::terminations_until_quarantine + 3);
     }
     WHEN("callers come twenty times a second")
     {
