--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -44,7 +44,7 @@
     entry.changed_at = now;
     bool const has_enough = entry.ended.size() >= terminations_until_quarantine;
     if (is_told_held || has_enough) {
-        auto const until = now + (has_enough && !news.empty() ? remembered_for : std::min(told_hold, remembered_for));
+        auto const until = now + (has_enough && !news.empty() ? retention_time : std::min(told_hold, retention_time));
         entry.held_until = std::max(entry.held_until.value_or(until), until);
         this->explain_by(request);
     }
@@ -73,7 +73,7 @@
     std::vector<RequestFingerprint> released;
     std::erase_if(this->entries, [&](auto const& item) {
         auto const& [request, entry] = item;
-        bool const is_over = entry.held_until ? *entry.held_until <= now : now - entry.changed_at >= remembered_for;
+        bool const is_over = entry.held_until ? *entry.held_until <= now : now - entry.changed_at >= retention_time;
         if (!is_over)
             return false;
         --this->count_of_organisation[request.organisation];
--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -33,7 +33,7 @@
     /// A server may end at any time, and of all requests that ran there one is guilty at most.
     static constexpr size_t terminations_until_quarantine = 3;
     /// From its last end on. A request that is held back cannot show that it has become harmless, so it may try again.
-    static constexpr Duration remembered_for = 1h;
+    static constexpr Duration retention_time = 1h;
 
     struct Entry {
         std::set<ServerProcess> ended;
--- a/Tests/LibServing/TestQuarantine.cpp
+++ b/Tests/LibServing/TestQuarantine.cpp
@@ -36,13 +36,13 @@
         CHECK(quarantine.record_termination(guilty, process(2), now) == Change::Held);
         THEN("it is held back for an hour, and no other request is")
         {
-            CHECK(quarantine.held_for(guilty, now) == Quarantine::remembered_for);
+            CHECK(quarantine.held_for(guilty, now) == Quarantine::retention_time);
             CHECK(!quarantine.held_for(request(2), now));
             CHECK(!quarantine.held_for(request(1, "market"), now));
         }
         AND_WHEN("the hour is over")
         {
-            now += Quarantine::remembered_for;
+            now += Quarantine::retention_time;
             THEN("it may be sent again, and begins anew")
             {
                 CHECK(!quarantine.held_for(guilty, now));
@@ -81,7 +81,7 @@
     WHEN("another host says that it is held back for longer than requests are")
     {
         quarantine.merge(guilty, {}, 1000h, now);
-        THEN("an hour is believed") { CHECK(quarantine.held_for(guilty, now) == Quarantine::remembered_for); }
+        THEN("an hour is believed") { CHECK(quarantine.held_for(guilty, now) == Quarantine::retention_time); }
     }
 }
 
