--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -46,7 +46,7 @@
     if (is_told_held || has_enough) {
         auto const until = now + (has_enough && !news.empty() ? retention_time : std::min(told_hold, retention_time));
         entry.held_until = std::max(entry.held_until.value_or(until), until);
-        this->explain_by(request);
+        this->attribute_to(request);
     }
     return entry.held_until && !was_held ? Change::Held : Change::Suspected;
 }
@@ -111,7 +111,7 @@
 }
 
 /// What ran beside the request that is held back did not end these processes.
-void Quarantine::explain_by(RequestFingerprint const& held)
+void Quarantine::attribute_to(RequestFingerprint const& held)
 {
     auto const explained = this->entries.at(held).ended;
     for (auto& [request, entry] : this->entries) {
--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -81,7 +81,7 @@
     [[nodiscard]] bool is_innocent(RequestFingerprint const&, Instant now) const;
     [[nodiscard]] bool is_explained(ServerProcess const&) const;
     void note_innocent(RequestFingerprint const&, Instant now);
-    void explain_by(RequestFingerprint const& held);
+    void attribute_to(RequestFingerprint const& held);
     void make_room(OrganisationId const&);
     void drop_oldest(std::optional<OrganisationId> const& of);
 
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -252,7 +252,7 @@
     Libraries/LibServing/Quarantine.cpp "if (!is_known && (was_held" "if ((was_held"
 guard "requests that end servers: what runs beside is innocent" TestLibServing \
     "Scenario: requests that run beside a guilty one are not held back for it" \
-    Libraries/LibServing/Quarantine.cpp "this->explain_by(request);" ""
+    Libraries/LibServing/Quarantine.cpp "this->attribute_to(request);" ""
 guard "requests that end servers: told at once" TestFleet \
     "Scenario: a request that ends what runs it reaches few servers more, however many hosts there are" \
     Libraries/LibServing/RequestEnds.cpp "    context.quarantine_changed(request);
