--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -25,7 +25,7 @@
     std::set<ServerProcess> news;
     for (auto const& process : ended) {
         bool const is_known = found != this->entries.end() && found->second.ended.contains(process);
-        if (!is_known && (was_held || !this->is_explained(process)))
+        if (!is_known && (was_held || !this->is_attributed(process)))
             news.insert(process);
     }
     bool const is_told_held = told_hold > 0s;
@@ -104,7 +104,7 @@
     }
 }
 
-bool Quarantine::is_explained(ServerProcess const& process) const
+bool Quarantine::is_attributed(ServerProcess const& process) const
 {
     return std::ranges::any_of(
         this->entries, [&](auto const& item) { return item.second.held_until && item.second.ended.contains(process); });
--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -79,7 +79,7 @@
     static constexpr size_t most_innocent = 4096;
 
     [[nodiscard]] bool is_innocent(RequestFingerprint const&, Instant now) const;
-    [[nodiscard]] bool is_explained(ServerProcess const&) const;
+    [[nodiscard]] bool is_attributed(ServerProcess const&) const;
     void note_innocent(RequestFingerprint const&, Instant now);
     void attribute_to(RequestFingerprint const& held);
     void make_room(OrganisationId const&);
