--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -18,7 +18,7 @@
 Quarantine::Change Quarantine::merge(
     RequestFingerprint const& request, std::set<ServerProcess> const& ended, Duration told_hold, Instant now)
 {
-    if (this->is_innocent(request, now))
+    if (this->is_recently_cleared(request, now))
         return Change::Nothing;
     auto found = this->entries.find(request);
     bool const was_held = found != this->entries.end() && found->second.held_until;
@@ -85,7 +85,7 @@
     return released;
 }
 
-bool Quarantine::is_innocent(RequestFingerprint const& request, Instant now) const
+bool Quarantine::is_recently_cleared(RequestFingerprint const& request, Instant now) const
 {
     auto found = this->innocent_until.find(request);
     return found != this->innocent_until.end() && now < found->second;
--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -78,7 +78,7 @@
     static constexpr Duration innocent_for = 1min;
     static constexpr size_t most_innocent = 4096;
 
-    [[nodiscard]] bool is_innocent(RequestFingerprint const&, Instant now) const;
+    [[nodiscard]] bool is_recently_cleared(RequestFingerprint const&, Instant now) const;
     [[nodiscard]] bool is_attributed(ServerProcess const&) const;
     void note_innocent(RequestFingerprint const&, Instant now);
     void attribute_to(RequestFingerprint const& held);
