--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -53,7 +53,7 @@
 
 bool Quarantine::clear(RequestFingerprint const& request, Instant now)
 {
-    this->note_innocent(request, now);
+    this->record_cleared(request, now);
     if (this->entries.erase(request) == 0)
         return false;
     --this->count_of_organisation[request.organisation];
@@ -91,7 +91,7 @@
     return found != this->innocent_until.end() && now < found->second;
 }
 
-void Quarantine::note_innocent(RequestFingerprint const& request, Instant now)
+void Quarantine::record_cleared(RequestFingerprint const& request, Instant now)
 {
     this->innocent_until[request] = now + innocent_for;
     this->innocent_order.emplace_back(now + innocent_for, request);
--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -80,7 +80,7 @@
 
     [[nodiscard]] bool is_recently_cleared(RequestFingerprint const&, Instant now) const;
     [[nodiscard]] bool is_attributed(ServerProcess const&) const;
-    void note_innocent(RequestFingerprint const&, Instant now);
+    void record_cleared(RequestFingerprint const&, Instant now);
     void attribute_to(RequestFingerprint const& held);
     void make_room(OrganisationId const&);
     void drop_oldest(std::optional<OrganisationId> const& of);
