--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -24,7 +24,7 @@
     bool const was_held = found != this->entries.end() && found->second.held_until;
     std::set<ServerProcess> news;
     for (auto const& process : ended) {
-        bool const is_known = found != this->entries.end() && found->second.ended.contains(process);
+        bool const is_known = found != this->entries.end() && found->second.terminated_under.contains(process);
         if (!is_known && (was_held || !this->is_attributed(process)))
             news.insert(process);
     }
@@ -38,11 +38,11 @@
     }
     auto& entry = found->second;
     for (auto const& process : news) {
-        if (entry.ended.size() < most_processes)
-            entry.ended.insert(process);
+        if (entry.terminated_under.size() < most_processes)
+            entry.terminated_under.insert(process);
     }
     entry.changed_at = now;
-    bool const has_enough = entry.ended.size() >= terminations_until_quarantine;
+    bool const has_enough = entry.terminated_under.size() >= terminations_until_quarantine;
     if (is_told_held || has_enough) {
         auto const until = now + (has_enough && !news.empty() ? retention_time : std::min(told_hold, retention_time));
         entry.held_until = std::max(entry.held_until.value_or(until), until);
@@ -106,21 +106,22 @@
 
 bool Quarantine::is_attributed(ServerProcess const& process) const
 {
-    return std::ranges::any_of(
-        this->entries, [&](auto const& item) { return item.second.held_until && item.second.ended.contains(process); });
+    return std::ranges::any_of(this->entries,
+        [&](auto const& item) { return item.second.held_until && item.second.terminated_under.contains(process); });
 }
 
 /// What ran beside the request that is held back did not end these processes.
 void Quarantine::attribute_to(RequestFingerprint const& held)
 {
-    auto const explained = this->entries.at(held).ended;
+    auto const explained = this->entries.at(held).terminated_under;
     for (auto& [request, entry] : this->entries) {
         if (!entry.held_until)
-            std::erase_if(entry.ended, [&](ServerProcess const& process) { return explained.contains(process); });
+            std::erase_if(
+                entry.terminated_under, [&](ServerProcess const& process) { return explained.contains(process); });
     }
     std::erase_if(this->entries, [&](auto const& item) {
         auto const& [request, entry] = item;
-        if (entry.held_until || !entry.ended.empty())
+        if (entry.held_until || !entry.terminated_under.empty())
             return false;
         --this->count_of_organisation[request.organisation];
         return true;
--- a/Libraries/LibServing/RequestEnds.cpp
+++ b/Libraries/LibServing/RequestEnds.cpp
@@ -24,7 +24,7 @@
     context.metrics.add("requests_quarantined_total");
     context.log.event(Core::EventNumber::RequestQuarantined, to_text(request))
         .with("organisation", request.organisation)
-        .with("servers", context.quarantine.all().at(request).ended.size())
+        .with("servers", context.quarantine.all().at(request).terminated_under.size())
         .with("held_ms", context.quarantine.held_for(request, context.now()).value_or(0s));
     context.hold_changed(request, true);
 }
@@ -113,7 +113,7 @@
     if (found == context.quarantine.all().end())
         return said.set_is_cleared(true);
     set_hold(said, context, request);
-    for (auto const& process : found->second.ended) {
+    for (auto const& process : found->second.terminated_under) {
         auto& ended = *said.add_ended();
         ended.set_backend(process.server.value());
         ended.set_start(process.start.value());
--- a/Tests/LibServing/TestQuarantine.cpp
+++ b/Tests/LibServing/TestQuarantine.cpp
@@ -143,7 +143,7 @@
                 quarantine.merge(request(ends[word]), { process(static_cast<int>(word)) }, 0s, now);
             std::map<RequestFingerprint, std::pair<std::set<ServerProcess>, bool>> known;
             for (auto const& [fingerprint, entry] : quarantine.all())
-                known[fingerprint] = { entry.ended, entry.held_until.has_value() };
+                known[fingerprint] = { entry.terminated_under, entry.held_until.has_value() };
             return known;
         };
         auto backwards = words;
