--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -12,7 +12,7 @@
 #include <LibServing/Dialect.h>
 #include <LibServing/RateLimit.h>
 #include <LibServing/Refusal.h>
-#include <LibServing/RequestEnds.h>
+#include <LibServing/RequestTerminations.h>
 #include <LibServing/ServerNotice.h>
 #include <LibServing/Suspicion.h>
 #include <functional>
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -8,7 +8,7 @@
 #include <LibServing/RateLimit.h>
 #include <LibServing/Refusal.h>
 #include <LibServing/Relays.h>
-#include <LibServing/RequestEnds.h>
+#include <LibServing/RequestTerminations.h>
 #include <LibServing/Suspicion.h>
 #include <algorithm>
 
--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <LibPlatform/ChangeFollower.h>
-#include <LibServing/RequestEnds.h>
+#include <LibServing/RequestTerminations.h>
 
 namespace Serving {
 
--- a/Libraries/LibServing/RequestEnds.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/RequestEnds.h>
+#include <LibServing/RequestTerminations.h>
 
 namespace Serving {
 
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -255,7 +255,7 @@
     Libraries/LibServing/Quarantine.cpp "this->attribute_to(request);" ""
 guard "requests that end servers: told at once" TestFleet \
     "Scenario: a request that ends what runs it reaches few servers more, however many hosts there are" \
-    Libraries/LibServing/RequestEnds.cpp "    context.quarantine_changed(request);
+    Libraries/LibServing/RequestTerminations.cpp "    context.quarantine_changed(request);
 }
 
 void note_run_survived" "}
@@ -263,7 +263,7 @@
 void note_run_survived"
 guard "requests that end servers: told again" TestFleet \
     "Scenario: a request that ends what runs it reaches few servers more, however many hosts there are" \
-    Libraries/LibServing/RequestEnds.cpp "static constexpr size_t held_told_at_once = 8;" \
+    Libraries/LibServing/RequestTerminations.cpp "static constexpr size_t held_told_at_once = 8;" \
     "static constexpr size_t held_told_at_once = 0;"
 guard "requests that end servers: kept by the platform" TestHosts \
     "Scenario: a generation that ends every engine that runs it reaches few more once it has ended three" \
