--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -198,7 +198,7 @@
                 .with("state", to_string(backend->availability))
                 .with("reason", reason);
             if (state == ProcessState::Ended && !is_expected)
-                note_end_under(context, fingerprint, *backend);
+                record_termination_under(context, fingerprint, *backend);
         };
         this->context.processes.ask(*backend, std::move(asked));
     }
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -36,7 +36,7 @@
         .with("reason", reason);
 }
 
-void note_end_under(ServingContext& context, RequestFingerprint const& request, Backend const& backend)
+void record_termination_under(ServingContext& context, RequestFingerprint const& request, Backend const& backend)
 {
     auto const change
         = context.quarantine.record_termination(request, { backend.server.id, backend.server.start }, context.now());
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -12,7 +12,7 @@
 namespace Serving {
 
 /// The process of `backend` has ended, unannounced, while the request was there. The other hosts are told.
-void note_end_under(ServingContext&, RequestFingerprint const&, Backend const& backend);
+void record_termination_under(ServingContext&, RequestFingerprint const&, Backend const& backend);
 
 /// A run of the request has ended, and the backend server lives.
 void note_run_survived(ServingContext&, RequestFingerprint const&);
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -118,7 +118,7 @@
     {
         for (auto const& end : this->ends) {
             if (end.seen_at <= this->now)
-                note_end_under(*end.host->context, this->request, end.server);
+                record_termination_under(*end.host->context, this->request, end.server);
         }
         std::erase_if(this->ends, [&](End const& end) { return end.seen_at <= this->now; });
     }
--- a/Tests/LibServing/TestQuarantineTable.cpp
+++ b/Tests/LibServing/TestQuarantineTable.cpp
@@ -69,7 +69,7 @@
         for (int i = 0; i < 3; ++i) {
             Backend server;
             server.server.id = EngineId("e" + std::to_string(i));
-            note_end_under(this->context, request, server);
+            record_termination_under(this->context, request, server);
         }
     }
 
