--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -204,7 +204,7 @@
     }
 
     /// A backend server has answered whole, and so lives after what it ran of this request.
-    void survived() { note_run_survived(this->context, this->call.fingerprint); }
+    void survived() { record_run_survived(this->context, this->call.fingerprint); }
 
     /// For how much longer this request is held back, since servers end under it; nothing if it may be sent on.
     [[nodiscard]] std::optional<Duration> held_back_for() const
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -46,7 +46,7 @@
     context.quarantine_changed(request);
 }
 
-void note_run_survived(ServingContext& context, RequestFingerprint const& request)
+void record_run_survived(ServingContext& context, RequestFingerprint const& request)
 {
     bool const was_held = context.quarantine.held_for(request, context.now()).has_value();
     if (!context.quarantine.clear(request, context.now()))
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -15,7 +15,7 @@
 void record_termination_under(ServingContext&, RequestFingerprint const&, Backend const& backend);
 
 /// A run of the request has ended, and the backend server lives.
-void note_run_survived(ServingContext&, RequestFingerprint const&);
+void record_run_survived(ServingContext&, RequestFingerprint const&);
 
 /// Lets go of what is remembered no longer.
 void forget_old_ends(ServingContext&);
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -258,9 +258,9 @@
     Libraries/LibServing/RequestTerminations.cpp "    context.quarantine_changed(request);
 }
 
-void note_run_survived" "}
+void record_run_survived" "}
 
-void note_run_survived"
+void record_run_survived"
 guard "requests that end servers: told again" TestFleet \
     "Scenario: a request that ends what runs it reaches few servers more, however many hosts there are" \
     Libraries/LibServing/RequestTerminations.cpp "static constexpr size_t held_told_at_once = 8;" \
--- a/Tests/LibServing/TestQuarantineTable.cpp
+++ b/Tests/LibServing/TestQuarantineTable.cpp
@@ -120,7 +120,7 @@
         }
         WHEN("a run of it that was under way ends well")
         {
-            note_run_survived(before.context, request);
+            record_run_survived(before.context, request);
             before.pass(200ms);
             THEN("the row goes") { CHECK(store.rows.empty()); }
         }
