--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -35,7 +35,7 @@
     /// To be called several times a second.
     void tick()
     {
-        forget_old_ends(this->context);
+        forget_expired_terminations(this->context);
         // While the platform does not answer, others find out when it does again.
         bool const may_call = !this->is_calling && !this->context.reach.platform_lost_here();
         if (!may_call || this->context.now() < this->next_call_at)
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -58,7 +58,7 @@
     context.hold_changed(request, false);
 }
 
-void forget_old_ends(ServingContext& context)
+void forget_expired_terminations(ServingContext& context)
 {
     for (auto const& request : context.quarantine.forget_expired(context.now())) {
         log_release(context, request, "its time is over");
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -18,7 +18,7 @@
 void record_run_survived(ServingContext&, RequestFingerprint const&);
 
 /// Lets go of what is remembered no longer.
-void forget_old_ends(ServingContext&);
+void forget_expired_terminations(ServingContext&);
 
 /// Takes in what another host knows of requests under which servers end.
 void take_request_ends(ServingContext&, wire::HostUse const&);
