--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -393,7 +393,7 @@
     this->heard_leaving(message);
     this->heard_ended(message);
     apply_refusals(this->context, message);
-    take_request_ends(this->context, message);
+    apply_request_terminations(this->context, message);
     apply_rate_limits(this->context, message);
     this->heard_progress(sender, message);
     if (message.wants_answer())
@@ -420,7 +420,7 @@
     this->heard_leaving(message);
     this->heard_ended(message);
     apply_refusals(this->context, message);
-    take_request_ends(this->context, message);
+    apply_request_terminations(this->context, message);
     apply_rate_limits(this->context, message);
     this->heard_progress(sender, message);
 }
--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -103,7 +103,7 @@
         ending.set_organisation(said.organisation());
         ending.set_digest(said.digest());
         ending.set_held_milliseconds(static_cast<u32>(left.count()));
-        take_request_ends(this->context, message);
+        apply_request_terminations(this->context, message);
         // It is there already.
         this->unwritten.erase(row.key);
     }
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -74,7 +74,7 @@
     return processes;
 }
 
-void take_request_ends(ServingContext& context, wire::HostUse const& message)
+void apply_request_terminations(ServingContext& context, wire::HostUse const& message)
 {
     auto const now = context.now();
     for (auto const& said : message.ending()) {
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -21,7 +21,7 @@
 void forget_expired_terminations(ServingContext&);
 
 /// Takes in what another host knows of requests under which servers end.
-void take_request_ends(ServingContext&, wire::HostUse const&);
+void apply_request_terminations(ServingContext&, wire::HostUse const&);
 
 /// Adds to a message what is known of one request; that it is cleared, where nothing is.
 void put_request_end(wire::HostUse&, ServingContext const&, RequestFingerprint const&);
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -98,7 +98,7 @@
     {
         for (auto& host : this->hosts)
             host.inbox.hear(
-                this->now, [&](wire::HostUse const& message) { take_request_ends(*host.context, message); });
+                this->now, [&](wire::HostUse const& message) { apply_request_terminations(*host.context, message); });
     }
 
     void tell_whole()
--- a/Tests/LibServing/TestQuarantineTable.cpp
+++ b/Tests/LibServing/TestQuarantineTable.cpp
@@ -131,7 +131,7 @@
         wire::HostUse message;
         message.set_is_whole(true);
         message.set_knows_quarantine(true);
-        take_request_ends(host.context, message);
+        apply_request_terminations(host.context, message);
         host.pass(10s);
         THEN("it asks the platform for nothing") { CHECK(store.reads == 0); }
     }
