--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -125,7 +125,7 @@
 void PeerLink::tell_request_end(RequestFingerprint const& request)
 {
     wire::HostUse message;
-    put_request_end(message, this->context, request);
+    put_request_termination(message, this->context, request);
     this->broadcast(message);
     this->send_elsewhere(std::move(message));
 }
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -106,7 +106,7 @@
     said.set_held_milliseconds(static_cast<u32>(AK::to_milliseconds(held_for)));
 }
 
-void put_request_end(wire::HostUse& message, ServingContext const& context, RequestFingerprint const& request)
+void put_request_termination(wire::HostUse& message, ServingContext const& context, RequestFingerprint const& request)
 {
     auto& said = add_request(message, request);
     auto const found = context.quarantine.all().find(request);
@@ -126,7 +126,7 @@
     std::vector<RequestFingerprint> held;
     for (auto const& [request, entry] : context.quarantine.all()) {
         if (context.now() - entry.changed_at < told_again_for)
-            put_request_end(message, context, request);
+            put_request_termination(message, context, request);
         else if (entry.held_until)
             held.push_back(request);
     }
@@ -144,7 +144,7 @@
     auto put = [&](bool is_held) {
         for (auto const& [request, entry] : context.quarantine.all()) {
             if (entry.held_until.has_value() == is_held && told++ < most_told_at_start)
-                put_request_end(message, context, request);
+                put_request_termination(message, context, request);
         }
     };
     put(true);
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -24,7 +24,7 @@
 void apply_request_terminations(ServingContext&, wire::HostUse const&);
 
 /// Adds to a message what is known of one request; that it is cleared, where nothing is.
-void put_request_end(wire::HostUse&, ServingContext const&, RequestFingerprint const&);
+void put_request_termination(wire::HostUse&, ServingContext const&, RequestFingerprint const&);
 
 /// Adds to a whole message what has changed lately, and in turn, by the number of the `round`, what is held back: so it
 /// also comes to those that have missed a word.
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -82,7 +82,7 @@
         host.context->clock = [this] { return this->now; };
         host.context->quarantine_changed = [this, &host](RequestFingerprint const& request) {
             wire::HostUse message;
-            put_request_end(message, *host.context, request);
+            put_request_termination(message, *host.context, request);
             this->talk.tell(this->hosts, host, message, this->now);
         };
         std::erase_if(this->ends, [&](End const& end) { return end.host == &host; });
