--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -297,7 +297,7 @@
     message.set_period_milliseconds(static_cast<u32>(AK::to_milliseconds(own.period)));
     message.set_platform_is_lost(own.platform_is_lost);
     message.set_hosts_of_domain(own.hosts_of_domain);
-    put_recent_request_ends(message, this->context, this->rounds);
+    put_recent_request_terminations(message, this->context, this->rounds);
     for (auto const& [table, last_change] : this->observer.own_progress()) {
         auto& progress = *message.add_tables();
         progress.set_table(table);
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -120,7 +120,7 @@
     }
 }
 
-void put_recent_request_ends(wire::HostUse& message, ServingContext const& context, u64 round)
+void put_recent_request_terminations(wire::HostUse& message, ServingContext const& context, u64 round)
 {
     message.set_knows_quarantine(context.knows_quarantine);
     std::vector<RequestFingerprint> held;
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -28,7 +28,7 @@
 
 /// Adds to a whole message what has changed lately, and in turn, by the number of the `round`, what is held back: so it
 /// also comes to those that have missed a word.
-void put_recent_request_ends(wire::HostUse&, ServingContext const&, u64 round);
+void put_recent_request_terminations(wire::HostUse&, ServingContext const&, u64 round);
 
 /// Adds all that is known, for a host that has just started.
 void put_all_request_ends(wire::HostUse&, ServingContext const&);
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -108,7 +108,7 @@
                 continue;
             host.next_whole = this->now + whole_period;
             wire::HostUse message;
-            put_recent_request_ends(message, *host.context, host.round++);
+            put_recent_request_terminations(message, *host.context, host.round++);
             if (message.ending_size() > 0)
                 this->talk.tell(this->hosts, host, message, this->now);
         }
