--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -329,7 +329,7 @@
     this->complete_whole(message, this->period());
     message.set_wants_answer(wants_answer);
     message.clear_ending();
-    put_all_request_ends(message, this->context);
+    put_all_request_terminations(message, this->context);
     put_recent_rate_limits(message, this->context, LimitScope::All);
     this->send(std::span(&peer, 1), std::move(message));
 }
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -137,7 +137,7 @@
     }
 }
 
-void put_all_request_ends(wire::HostUse& message, ServingContext const& context)
+void put_all_request_terminations(wire::HostUse& message, ServingContext const& context)
 {
     message.set_knows_quarantine(context.knows_quarantine);
     size_t told = 0;
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -31,6 +31,6 @@
 void put_recent_request_terminations(wire::HostUse&, ServingContext const&, u64 round);
 
 /// Adds all that is known, for a host that has just started.
-void put_all_request_ends(wire::HostUse&, ServingContext const&);
+void put_all_request_terminations(wire::HostUse&, ServingContext const&);
 
 }
