--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -11,7 +11,7 @@
 /// A datagram that is lost comes again with the next whole messages: three of the slowest.
 static constexpr Duration told_again_for = 3s;
 /// Of those that are held back, in one whole message: 30 bytes each.
-static constexpr size_t held_told_at_once = 8;
+static constexpr size_t max_quarantined_per_message = 8;
 /// For a host that has just started: 7 KB.
 static constexpr size_t most_told_at_start = 64;
 
@@ -130,9 +130,9 @@
         else if (entry.held_until)
             held.push_back(request);
     }
-    auto const count = std::min(held.size(), held_told_at_once);
+    auto const count = std::min(held.size(), max_quarantined_per_message);
     for (size_t i = 0; i < count; ++i) {
-        auto const& request = held[(round * held_told_at_once + i) % held.size()];
+        auto const& request = held[(round * max_quarantined_per_message + i) % held.size()];
         set_hold(add_request(message, request), context, request);
     }
 }
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -263,8 +263,8 @@
 void record_run_survived"
 guard "requests that end servers: told again" TestFleet \
     "Scenario: a request that ends what runs it reaches few servers more, however many hosts there are" \
-    Libraries/LibServing/RequestTerminations.cpp "static constexpr size_t held_told_at_once = 8;" \
-    "static constexpr size_t held_told_at_once = 0;"
+    Libraries/LibServing/RequestTerminations.cpp "static constexpr size_t max_quarantined_per_message = 8;" \
+    "static constexpr size_t max_quarantined_per_message = 0;"
 guard "requests that end servers: kept by the platform" TestHosts \
     "Scenario: a generation that ends every engine that runs it reaches few more once it has ended three" \
     Libraries/LibServing/QuarantineTable.h "this->unwritten[key] = row.SerializeAsString();" "this->unwritten.erase(key);"
