--- a/Libraries/LibServing/Evacuations.cpp
+++ b/Libraries/LibServing/Evacuations.cpp
@@ -41,7 +41,7 @@
     return known != this->words.end() && known->second.is_in_force;
 }
 
-void Evacuations::take(FailureDomainId const& domain, EvacuationWord word)
+void Evacuations::take(FailureDomainId const& domain, EvacuationOrder word)
 {
     bool const is_new = !this->words.contains(domain);
     if (is_new && word.version <= this->listed_version)
--- a/Libraries/LibServing/Evacuations.h
+++ b/Libraries/LibServing/Evacuations.h
@@ -13,7 +13,7 @@
 
 /// The operator's order that a failure domain gets nothing: which version of the platform's table gave it, or took it
 /// back.
-struct EvacuationWord {
+struct EvacuationOrder {
     u64 version { 0 };
     bool is_in_force { false };
     Instant heard_at {};
@@ -40,13 +40,13 @@
     [[nodiscard]] bool is_evacuated(FailureDomainId const& domain) const;
 
 private:
-    void take(FailureDomainId const&, EvacuationWord);
+    void take(FailureDomainId const&, EvacuationOrder);
 
     ServingContext& context;
     /// Of the newest list: what it does not hold was not in force then.
     u64 listed_version { 0 };
     /// Of every domain that was ever named; a region has a few.
-    std::map<FailureDomainId, EvacuationWord> words;
+    std::map<FailureDomainId, EvacuationOrder> words;
 };
 
 }
