--- a/Libraries/LibServing/Evacuations.cpp
+++ b/Libraries/LibServing/Evacuations.cpp
@@ -9,7 +9,7 @@
 
 namespace Serving {
 
-void Evacuations::listed(std::map<FailureDomainId, u64> const& orders, u64 version)
+void Evacuations::apply_list(std::map<FailureDomainId, u64> const& orders, u64 version)
 {
     if (version < this->listed_version)
         return;
--- a/Tests/LibServing/TestEvacuations.cpp
+++ b/Tests/LibServing/TestEvacuations.cpp
@@ -114,7 +114,7 @@
     WHEN("a list names orders")
     {
         host.evacuations.ordered(hall_a, 7);
-        host.evacuations.listed({ { hall_b, 9 } }, 12);
+        host.evacuations.apply_list({ { hall_b, 9 } }, 12);
         THEN("those that it does not name are taken back")
         {
             CHECK_FALSE(host.evacuations.is_evacuated(hall_a));
@@ -127,14 +127,14 @@
         }
         THEN("an older list changes nothing")
         {
-            host.evacuations.listed({}, 10);
+            host.evacuations.apply_list({}, 10);
             CHECK(host.evacuations.is_evacuated(hall_b));
         }
     }
     WHEN("a list is older than what has been heard")
     {
         host.evacuations.ordered(hall_a, 7);
-        host.evacuations.listed({}, 5);
+        host.evacuations.apply_list({}, 5);
         CHECK(host.evacuations.is_evacuated(hall_a));
     }
     WHEN("an order names a domain in which nobody is known")
@@ -187,7 +187,7 @@
             if (word > 0)
                 tell(static_cast<size_t>(word));
             else if (word < 0)
-                host.evacuations.listed(state_at(static_cast<size_t>(-word)), static_cast<u64>(-word));
+                host.evacuations.apply_list(state_at(static_cast<size_t>(-word)), static_cast<u64>(-word));
         }
         for (int i = 1; i <= length; ++i)
             tell(static_cast<size_t>(i));
