--- a/Libraries/LibServing/OperatorTable.h
+++ b/Libraries/LibServing/OperatorTable.h
@@ -34,7 +34,7 @@
     void listed(std::vector<Platform::Row> const& rows, u64 version)
     {
         // Before the configuration, with which this host becomes ready.
-        this->evacuations.listed(this->evacuations_in(rows), version);
+        this->evacuations.apply_list(this->evacuations_in(rows), version);
         for (auto const& row : rows)
             this->take_configuration(row);
     }
