--- a/Libraries/LibServing/Evacuations.cpp
+++ b/Libraries/LibServing/Evacuations.cpp
@@ -21,11 +21,11 @@
     for (auto const& domain : missing)
         this->taken_back(domain, version);
     for (auto const& [domain, order_version] : orders)
-        this->ordered(domain, order_version);
+        this->apply_order(domain, order_version);
     this->listed_version = version;
 }
 
-void Evacuations::ordered(FailureDomainId const& domain, u64 version)
+void Evacuations::apply_order(FailureDomainId const& domain, u64 version)
 {
     this->take(domain, { version, true, this->context.now() });
 }
--- a/Libraries/LibServing/Evacuations.h
+++ b/Libraries/LibServing/Evacuations.h
@@ -33,7 +33,7 @@
     /// All orders that the table held at `version`; those that it did not hold are taken back.
     void apply_list(std::map<FailureDomainId, u64> const& orders, u64 version);
     /// A row of that version has given the order.
-    void ordered(FailureDomainId const&, u64 version);
+    void apply_order(FailureDomainId const&, u64 version);
     /// The row has gone with that version.
     void taken_back(FailureDomainId const&, u64 version);
 
--- a/Libraries/LibServing/OperatorTable.h
+++ b/Libraries/LibServing/OperatorTable.h
@@ -75,7 +75,7 @@
         if (!domain)
             return;
         if (!change.removed && this->is_evacuation(change.row))
-            return this->evacuations.ordered(*domain, change.row.version);
+            return this->evacuations.apply_order(*domain, change.row.version);
         // Bytes that another writer has put there are no order of the operator's.
         this->evacuations.taken_back(*domain, change.row.version);
     }
--- a/Tests/LibServing/TestEvacuations.cpp
+++ b/Tests/LibServing/TestEvacuations.cpp
@@ -68,7 +68,7 @@
     Beliefs host;
     WHEN("one domain is emptied")
     {
-        host.evacuations.ordered(hall_a, 7);
+        host.evacuations.apply_order(hall_a, 7);
         THEN("generations, copies and calls go to the other one, however full it is")
         {
             host.context.backends.find(EngineId("b1"))->engine.own_tokens = 50'000;
@@ -92,18 +92,18 @@
             CHECK(host.context.backends.find(EngineId("a1"))->takes_work());
             THEN("an older word of it does not bring it back")
             {
-                host.evacuations.ordered(hall_a, 8);
+                host.evacuations.apply_order(hall_a, 8);
                 CHECK_FALSE(host.evacuations.is_evacuated(hall_a));
             }
             THEN("a newer one does")
             {
-                host.evacuations.ordered(hall_a, 10);
+                host.evacuations.apply_order(hall_a, 10);
                 CHECK(host.evacuations.is_evacuated(hall_a));
             }
         }
         AND_WHEN("the other one is emptied too")
         {
-            host.evacuations.ordered(hall_b, 8);
+            host.evacuations.apply_order(hall_b, 8);
             THEN("nothing is sent at all")
             {
                 CHECK(host.generation_goes_to() == "none");
@@ -113,7 +113,7 @@
     }
     WHEN("a list names orders")
     {
-        host.evacuations.ordered(hall_a, 7);
+        host.evacuations.apply_order(hall_a, 7);
         host.evacuations.apply_list({ { hall_b, 9 } }, 12);
         THEN("those that it does not name are taken back")
         {
@@ -122,7 +122,7 @@
         }
         THEN("a word from before the list that it does not know is over")
         {
-            host.evacuations.ordered(FailureDomainId("hall-c"), 11);
+            host.evacuations.apply_order(FailureDomainId("hall-c"), 11);
             CHECK_FALSE(host.evacuations.is_evacuated(FailureDomainId("hall-c")));
         }
         THEN("an older list changes nothing")
@@ -133,13 +133,13 @@
     }
     WHEN("a list is older than what has been heard")
     {
-        host.evacuations.ordered(hall_a, 7);
+        host.evacuations.apply_order(hall_a, 7);
         host.evacuations.apply_list({}, 5);
         CHECK(host.evacuations.is_evacuated(hall_a));
     }
     WHEN("an order names a domain in which nobody is known")
     {
-        host.evacuations.ordered(FailureDomainId("hall-z"), 7);
+        host.evacuations.apply_order(FailureDomainId("hall-z"), 7);
         CHECK(host.generation_goes_to() != "none");
         THEN("it holds for those that come")
         {
@@ -166,7 +166,7 @@
         auto tell = [&](size_t version) {
             auto const& change = history[version - 1];
             if (change.is_order)
-                host.evacuations.ordered(change.domain, version);
+                host.evacuations.apply_order(change.domain, version);
             else
                 host.evacuations.taken_back(change.domain, version);
         };
@@ -215,13 +215,13 @@
     CHECK(lost().empty());
     WHEN("its own domain is emptied, and the other one is cut off")
     {
-        host.evacuations.ordered(hall_a, 7);
+        host.evacuations.apply_order(hall_a, 7);
         CHECK(lost() == std::vector { ServiceName("models") });
     }
     WHEN("all domains are emptied")
     {
-        host.evacuations.ordered(hall_a, 7);
-        host.evacuations.ordered(hall_b, 8);
+        host.evacuations.apply_order(hall_a, 7);
+        host.evacuations.apply_order(hall_b, 8);
         THEN("callers are refused at once, since no other host could do more") { CHECK(lost().empty()); }
     }
 }
