--- a/Libraries/LibServing/Evacuations.cpp
+++ b/Libraries/LibServing/Evacuations.cpp
@@ -19,7 +19,7 @@
             missing.push_back(domain);
     }
     for (auto const& domain : missing)
-        this->taken_back(domain, version);
+        this->apply_revocation(domain, version);
     for (auto const& [domain, order_version] : orders)
         this->apply_order(domain, order_version);
     this->listed_version = version;
@@ -30,7 +30,7 @@
     this->take(domain, { version, true, this->context.now() });
 }
 
-void Evacuations::taken_back(FailureDomainId const& domain, u64 version)
+void Evacuations::apply_revocation(FailureDomainId const& domain, u64 version)
 {
     this->take(domain, { version, false, this->context.now() });
 }
--- a/Libraries/LibServing/Evacuations.h
+++ b/Libraries/LibServing/Evacuations.h
@@ -35,7 +35,7 @@
     /// A row of that version has given the order.
     void apply_order(FailureDomainId const&, u64 version);
     /// The row has gone with that version.
-    void taken_back(FailureDomainId const&, u64 version);
+    void apply_revocation(FailureDomainId const&, u64 version);
 
     [[nodiscard]] bool is_evacuated(FailureDomainId const& domain) const;
 
--- a/Libraries/LibServing/OperatorTable.h
+++ b/Libraries/LibServing/OperatorTable.h
@@ -77,7 +77,7 @@
         if (!change.removed && this->is_evacuation(change.row))
             return this->evacuations.apply_order(*domain, change.row.version);
         // Bytes that another writer has put there are no order of the operator's.
-        this->evacuations.taken_back(*domain, change.row.version);
+        this->evacuations.apply_revocation(*domain, change.row.version);
     }
 
     void take_configuration(Platform::Row const& row)
--- a/Tests/LibServing/TestEvacuations.cpp
+++ b/Tests/LibServing/TestEvacuations.cpp
@@ -88,7 +88,7 @@
         }
         AND_WHEN("the order is taken back")
         {
-            host.evacuations.taken_back(hall_a, 9);
+            host.evacuations.apply_revocation(hall_a, 9);
             CHECK(host.context.backends.find(EngineId("a1"))->takes_work());
             THEN("an older word of it does not bring it back")
             {
@@ -168,7 +168,7 @@
             if (change.is_order)
                 host.evacuations.apply_order(change.domain, version);
             else
-                host.evacuations.taken_back(change.domain, version);
+                host.evacuations.apply_revocation(change.domain, version);
         };
         auto state_at = [&](size_t version) {
             std::map<FailureDomainId, u64> orders;
