--- a/Libraries/LibServing/Evacuations.cpp
+++ b/Libraries/LibServing/Evacuations.cpp
@@ -44,10 +44,10 @@
 void Evacuations::take(FailureDomainId const& domain, EvacuationOrder word)
 {
     bool const is_new = !this->words.contains(domain);
-    if (is_new && word.version <= this->listed_version)
+    if (is_new && order.version <= this->listed_version)
         return;
     auto const known = this->words.try_emplace(domain, word).first;
-    if (!is_new && word.version <= known->second.version)
+    if (!is_new && order.version <= known->second.version)
         return;
     bool const changes = is_new ? word.is_in_force : word.is_in_force != known->second.is_in_force;
     auto const former = std::exchange(known->second, word);
@@ -60,7 +60,7 @@
     auto const event
         = word.is_in_force ? Core::EventNumber::DomainEvacuated : Core::EventNumber::DomainEvacuationRevoked;
     this->context.log.event(event, domain.value())
-        .with("row_version", word.version)
+        .with("row_version", order.version)
         .with("backends", this->context.backends.count_in(domain))
         .with("in_force_for_ms", word.is_in_force ? Duration(0) : word.heard_at - former.heard_at);
 }
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -232,7 +232,7 @@
     Libraries/LibServing/BackendTable.cpp "known->is_evacuated = this->evacuated.contains(server.failure_domain);" ""
 guard "domains: an older word changes nothing" TestLibServing \
     "Scenario: nothing new is sent to a failure domain that the operator has emptied" \
-    Libraries/LibServing/Evacuations.cpp "if (!is_new && word.version <= known->second.version)" "if (false)"
+    Libraries/LibServing/Evacuations.cpp "if (!is_new && order.version <= known->second.version)" "if (false)"
 guard "domains: a copy leaves an emptied one" TestPlatform "Scenario: a generation outlives its engine" \
     Libraries/LibServing/GenerationMove.h "if (this->chosen->is_evacuated)" "if (false)"
 guard "cold servers: each host has its part" TestFleet \
