--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -145,7 +145,7 @@
                 this->context.connections.release(connection);
                 auto report = D::decode_engine_report(*body);
                 if (!report || is_from(*backend, report.value()))
-                    take_server_notice(this->context, *backend, *notice);
+                    apply_server_notice(this->context, *backend, *notice);
                 this->answered(*backend, end, reason, report);
             },
         };
--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -126,7 +126,7 @@
     [[nodiscard]] bool take_head(Backend& backend, Http::ResponseHead const& head)
     {
         auto decoded = D::decode_answer(head);
-        take_server_notice(this->context, backend, decoded);
+        apply_server_notice(this->context, backend, decoded);
         if (!decoded.attempt.empty() && decoded.attempt != this->attempt())
             return false;
         this->answer_head = head;
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -46,7 +46,7 @@
         note_leaving(context, backend);
 }
 
-void take_server_notice(ServingContext& context, Backend& backend, AnswerHead const& answer)
+void apply_server_notice(ServingContext& context, Backend& backend, AnswerHead const& answer)
 {
     // Another process answers at its address.
     if (answer.is_misdirected)
--- a/Libraries/LibServing/ServerNotice.h
+++ b/Libraries/LibServing/ServerNotice.h
@@ -13,6 +13,6 @@
 
 /// Takes in what `backend` says in the head of an answer of what it wants from now on, whichever request of this host
 /// it answers: of two words that were on their way at once neither takes anything from the other.
-void take_server_notice(ServingContext&, Backend&, AnswerHead const&);
+void apply_server_notice(ServingContext&, Backend&, AnswerHead const&);
 
 }
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -54,7 +54,7 @@
     }
     void hear(std::string const& id, AnswerHead const& head)
     {
-        take_server_notice(this->context, *this->server(id), head);
+        apply_server_notice(this->context, *this->server(id), head);
     }
     void pass(Duration span)
     {
@@ -198,7 +198,7 @@
     {
         auto const before = host.server("a");
         host.lapse("a");
-        take_server_notice(host.context, *before, leaving);
+        apply_server_notice(host.context, *before, leaving);
         host.list("a");
         THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
     }
@@ -210,12 +210,12 @@
         REQUIRE(host.server("a") != before);
         WHEN("it says so")
         {
-            take_server_notice(host.context, *before, leaving);
+            apply_server_notice(host.context, *before, leaving);
             THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
         }
         WHEN("it asks for a pause")
         {
-            take_server_notice(host.context, *before, asking_for(3s));
+            apply_server_notice(host.context, *before, asking_for(3s));
             THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
         }
     }
