--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -25,7 +25,7 @@
             .with("back_off_ms", backend.back_off_left(context.now()));
 }
 
-static void note_leaving(ServingContext& context, Backend& backend)
+static void record_leaving(ServingContext& context, Backend& backend)
 {
     if (backend.has_said_it_leaves)
         return;
@@ -43,7 +43,7 @@
     if (answer.back_off_for)
         back_off(context, backend, *answer.back_off_for);
     if (answer.is_leaving)
-        note_leaving(context, backend);
+        record_leaving(context, backend);
 }
 
 void apply_server_notice(ServingContext& context, Backend& backend, AnswerHead const& answer)
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -288,7 +288,7 @@
     Libraries/LibServing/BackendTable.cpp "this->restore_own_word(*known);" ""
 guard "leaving: the word of an answer" TestHosts \
     "Scenario: a host sends no new work to a server that has said in an answer that it leaves" \
-    Libraries/LibServing/ServerNotice.cpp "note_leaving(context, backend);" ""
+    Libraries/LibServing/ServerNotice.cpp "record_leaving(context, backend);" ""
 
 soak_guard "once only" Libraries/LibServing/ServiceCall.h \
     "this->call.route->kind == CallKind::Repeatable && this->runs() < this->call.route->most_dispatches" "true"
