--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -197,7 +197,7 @@
                 .with("process", to_string(state))
                 .with("state", to_string(backend->availability))
                 .with("reason", reason);
-            if (state == ProcessState::Ended && !is_expected)
+            if (state == ProcessState::Terminated && !is_expected)
                 record_termination_under(context, fingerprint, *backend);
         };
         this->context.processes.ask(*backend, std::move(asked));
--- a/Libraries/LibServing/ProcessCheck.cpp
+++ b/Libraries/LibServing/ProcessCheck.cpp
@@ -13,7 +13,7 @@
 std::string_view to_string(ProcessState state)
 {
     switch (state) {
-    case ProcessState::Ended:
+    case ProcessState::Terminated:
         return "ended";
     case ProcessState::Listens:
         return "listens";
@@ -48,7 +48,7 @@
         if (!error)
             return this->answer(endpoint, ProcessState::Listens);
         bool const is_refused = error == boost::asio::error::connection_refused;
-        this->answer(endpoint, is_refused ? ProcessState::Ended : ProcessState::Unknown);
+        this->answer(endpoint, is_refused ? ProcessState::Terminated : ProcessState::Unknown);
     };
     attempt->socket.async_connect(endpoint, this->guard.wrap(std::move(on_connected)));
 }
--- a/Tests/LibServing/TestProcessCheck.cpp
+++ b/Tests/LibServing/TestProcessCheck.cpp
@@ -46,7 +46,7 @@
             acceptor.close();
             ask();
             Test::run_until(loop, [&] { return states.size() == 2; });
-            THEN("the second one finds that") { CHECK(states.back() == ProcessState::Ended); }
+            THEN("the second one finds that") { CHECK(states.back() == ProcessState::Terminated); }
         }
     }
     GIVEN("a process whose host answers nothing, since its queue of connections is full")
