--- a/Libraries/LibServing/ProcessCheck.cpp
+++ b/Libraries/LibServing/ProcessCheck.cpp
@@ -15,7 +15,7 @@
     switch (state) {
     case ProcessState::Terminated:
         return "ended";
-    case ProcessState::Listens:
+    case ProcessState::Listening:
         return "listens";
     case ProcessState::Unknown:
         return "unknown";
@@ -46,7 +46,7 @@
     auto on_connected = [this, attempt, endpoint](boost::system::error_code error) {
         attempt->timer.cancel();
         if (!error)
-            return this->answer(endpoint, ProcessState::Listens);
+            return this->answer(endpoint, ProcessState::Listening);
         bool const is_refused = error == boost::asio::error::connection_refused;
         this->answer(endpoint, is_refused ? ProcessState::Terminated : ProcessState::Unknown);
     };
--- a/Tests/LibServing/TestProcessCheck.cpp
+++ b/Tests/LibServing/TestProcessCheck.cpp
@@ -30,7 +30,7 @@
             THEN("both hear that it lives, from one connection")
             {
                 Test::run_until(loop, [&] { return states.size() == 2; });
-                CHECK(states == std::vector { ProcessState::Listens, ProcessState::Listens });
+                CHECK(states == std::vector { ProcessState::Listening, ProcessState::Listening });
                 acceptor.non_blocking(true);
                 boost::system::error_code error;
                 acceptor.accept(error);
