--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/Flow.h
@@ -200,7 +200,7 @@
             if (state == ProcessState::Terminated && !is_expected)
                 record_termination_under(context, fingerprint, *backend);
         };
-        this->context.processes.ask(*backend, std::move(asked));
+        this->context.processes.query(*backend, std::move(asked));
     }
 
     /// A backend server has answered whole, and so lives after what it ran of this request.
--- a/Tests/LibServing/TestProcessCheck.cpp
+++ b/Tests/LibServing/TestProcessCheck.cpp
@@ -18,7 +18,7 @@
     Backend backend;
     backend.endpoint = Test::free_endpoint();
     std::vector<ProcessState> states;
-    auto ask = [&] { check.ask(backend, [&](ProcessState state) { states.push_back(state); }); };
+    auto ask = [&] { check.query(backend, [&](ProcessState state) { states.push_back(state); }); };
 
     GIVEN("a process that listens")
     {
