--- a/Libraries/LibServing/Admission.cpp
+++ b/Libraries/LibServing/Admission.cpp
@@ -12,14 +12,14 @@
 namespace Serving {
 
 /// While it makes the tokens of others in between.
-static constexpr double read_tokens_per_second = idle_prefill_tokens_per_second / 2;
+static constexpr double shared_prefill_tokens_per_second = idle_prefill_tokens_per_second / 2;
 /// Hosts of other failure domains hear of a placement later than those of the engine's own, and may choose it
 /// meanwhile: an engine elsewhere must have room for so many more generations like this one.
-static constexpr i64 generations_unseen_elsewhere = 2;
+static constexpr i64 remote_reserve_generations = 2;
 /// A shortage lasts for as long as generations take to end, some seconds; within half a second room may come free at
 /// one engine of many.
-static constexpr Duration soonest_return = 200ms;
-static constexpr Duration latest_return = 400ms;
+static constexpr Duration min_retry_after = 200ms;
+static constexpr Duration max_retry_after = 400ms;
 
 std::string_view to_string(AdmissionVerdict verdict)
 {
@@ -44,39 +44,39 @@
     if (memory.value() <= 0)
         return true;
     auto const wanted = need.prompt.value() + need.expected_output.value();
-    bool const is_elsewhere = backend.server.failure_domain != inputs.host_failure_domain;
+    bool const is_remote = backend.server.failure_domain != inputs.host_failure_domain;
     auto const held = estimated_tokens(backend, inputs.now);
     // What an empty engine takes does not depend on who decides.
-    auto const unseen = is_elsewhere && held > 0 ? generations_unseen_elsewhere * wanted : 0;
+    auto const unseen = is_remote && held > 0 ? remote_reserve_generations * wanted : 0;
     return held + wanted + unseen <= memory.value();
 }
 
-static Duration reading_time(i64 tokens)
+static Duration prefill_time(i64 tokens)
 {
-    return AK::from_seconds(static_cast<double>(tokens) / read_tokens_per_second);
+    return AK::from_seconds(static_cast<double>(tokens) / shared_prefill_tokens_per_second);
 }
 
 /// Nothing is read sooner than by an engine that has nothing else to read. A prompt that takes longer than its route's
 /// goal in any case may have as much before it as it has itself.
-static bool reads_in_time(Backend const& backend, AdmissionDemand const& demand)
+static bool prefills_in_time(Backend const& backend, AdmissionDemand const& demand)
 {
     auto const before = backend.engine.unread_tokens();
     auto const prompt = demand.need.prompt.value();
-    auto const bearable = std::max(demand.first_event_due_in, reading_time(2 * prompt));
-    return before <= 0 || reading_time(before + prompt) <= bearable;
+    auto const max_prefill_time = std::max(demand.first_event_due_in, prefill_time(2 * prompt));
+    return before <= 0 || prefill_time(before + prompt) <= max_prefill_time;
 }
 
-static bool has_room(
+static bool has_capacity(
     Backend const& backend, AdmissionDemand const& demand, TokenCount memory, ChoiceInputs const& inputs)
 {
     return backend.engine.generations() < backend.server.slots && fits_in_memory(backend, demand.need, memory, inputs)
-        && reads_in_time(backend, demand);
+        && prefills_in_time(backend, demand);
 }
 
-static Duration draw_return(boost::random::mt19937& random)
+static Duration draw_retry_after(boost::random::mt19937& random)
 {
     boost::random::uniform_real_distribution<double> seconds(
-        AK::to_seconds(soonest_return), AK::to_seconds(latest_return));
+        AK::to_seconds(min_retry_after), AK::to_seconds(max_retry_after));
     return AK::from_seconds(seconds(random));
 }
 
@@ -89,17 +89,17 @@
         return decision;
     }
     // What is expected of its output may be too much by far; alone it has all of the memory to grow in.
-    auto asked = demand;
+    auto bounded = demand;
     if (memory.value() > 0)
-        asked.need.expected_output
+        bounded.need.expected_output
             = std::min(demand.need.expected_output, TokenCount(memory.value() - demand.need.prompt.value()));
-    GenerationCost const cost(asked.need, memory, inputs, random);
+    GenerationCost const cost(bounded.need, memory, inputs, random);
     Cheapest chosen;
     for (auto const& candidate : candidates) {
         if (!candidate->takes_work_at(inputs.now))
             continue;
         ++decision.serving;
-        if (!has_room(*candidate, asked, memory, inputs))
+        if (!has_capacity(*candidate, bounded, memory, inputs))
             continue;
         ++decision.with_capacity;
         if (is_candidate(*candidate, tried, inputs))
@@ -110,7 +110,7 @@
         decision.verdict = AdmissionVerdict::Admit;
         return decision;
     }
-    decision.retry_after = draw_return(random);
+    decision.retry_after = draw_retry_after(random);
     auto const back_off = shortest_back_off(candidates, inputs.now);
     if (decision.serving > 0) {
         decision.verdict = AdmissionVerdict::NoCapacity;
--- a/Libraries/LibServing/Evacuations.h
+++ b/Libraries/LibServing/Evacuations.h
@@ -16,7 +16,7 @@
 struct EvacuationOrder {
     u64 version { 0 };
     bool is_in_force { false };
-    Instant heard_at {};
+    Instant received_at {};
 };
 
 /// What this host believes of the operator's orders to empty failure domains. Words come from the platform's table,
@@ -40,13 +40,13 @@
     [[nodiscard]] bool is_evacuated(FailureDomainId const& domain) const;
 
 private:
-    void take(FailureDomainId const&, EvacuationOrder);
+    void apply(FailureDomainId const&, EvacuationOrder);
 
     ServingContext& context;
     /// Of the newest list: what it does not hold was not in force then.
     u64 listed_version { 0 };
     /// Of every domain that was ever named; a region has a few.
-    std::map<FailureDomainId, EvacuationOrder> words;
+    std::map<FailureDomainId, EvacuationOrder> latest_orders;
 };
 
 }
--- a/Libraries/LibServing/PlacementRate.h
+++ b/Libraries/LibServing/PlacementRate.h
@@ -18,7 +18,7 @@
     void record(Instant now)
     {
         this->per_second = this->current(now) + 1 / AK::to_seconds(time_constant);
-        this->noted_at = now;
+        this->updated_at = now;
     }
 
     /// Placements of `deciders` hosts like this one in `age`.
@@ -33,12 +33,12 @@
 
     [[nodiscard]] double current(Instant now) const
     {
-        auto age = AK::to_seconds(now - this->noted_at) / AK::to_seconds(time_constant);
+        auto age = AK::to_seconds(now - this->updated_at) / AK::to_seconds(time_constant);
         return this->per_second * std::exp(-age);
     }
 
     double per_second { 0 };
-    Instant noted_at {};
+    Instant updated_at {};
 };
 
 }
--- a/Libraries/LibServing/ProcessCheck.cpp
+++ b/Libraries/LibServing/ProcessCheck.cpp
@@ -23,11 +23,11 @@
     VERIFY(false);
 }
 
-void ProcessCheck::ask(Backend const& backend, OnState on_state)
+void ProcessCheck::query(Backend const& backend, OnState on_state)
 {
-    auto& askers = this->waiting[backend.endpoint];
-    askers.push_back(std::move(on_state));
-    if (askers.size() == 1)
+    auto& callbacks = this->waiting[backend.endpoint];
+    callbacks.push_back(std::move(on_state));
+    if (callbacks.size() == 1)
         this->connect(backend.endpoint);
 }
 
@@ -37,8 +37,7 @@
         Http::tcp::socket socket;
         AK::Timer timer;
     };
-    auto attempt
-        = std::make_shared<Attempt>(Attempt { Http::tcp::socket(this->loop), AK::Timer(this->loop, patience) });
+    auto attempt = std::make_shared<Attempt>(Attempt { Http::tcp::socket(this->loop), AK::Timer(this->loop, timeout) });
     attempt->timer.async_wait([attempt](boost::system::error_code error) {
         if (!error)
             attempt->socket.close();
@@ -46,18 +45,18 @@
     auto on_connected = [this, attempt, endpoint](boost::system::error_code error) {
         attempt->timer.cancel();
         if (!error)
-            return this->answer(endpoint, ProcessState::Listening);
+            return this->complete(endpoint, ProcessState::Listening);
         bool const is_refused = error == boost::asio::error::connection_refused;
-        this->answer(endpoint, is_refused ? ProcessState::Terminated : ProcessState::Unknown);
+        this->complete(endpoint, is_refused ? ProcessState::Terminated : ProcessState::Unknown);
     };
     attempt->socket.async_connect(endpoint, this->guard.wrap(std::move(on_connected)));
 }
 
-void ProcessCheck::answer(Http::tcp::endpoint const& endpoint, ProcessState state)
+void ProcessCheck::complete(Http::tcp::endpoint const& endpoint, ProcessState state)
 {
-    auto askers = this->waiting.extract(endpoint);
-    for (auto const& asker : askers.mapped())
-        asker(state);
+    auto callbacks = this->waiting.extract(endpoint);
+    for (auto const& callback : callbacks.mapped())
+        callback(state);
 }
 
 }
--- a/Libraries/LibServing/ProcessCheck.h
+++ b/Libraries/LibServing/ProcessCheck.h
@@ -17,9 +17,9 @@
 /// What a connection to a backend server's address tells of its process.
 enum class ProcessState : u8 {
     /// Nothing listens there any more.
-    Ended,
+    Terminated,
     /// Something accepts connections.
-    Listens,
+    Listening,
     /// No answer: it may be cut off.
     Unknown,
 };
@@ -38,14 +38,14 @@
     }
 
     /// Calls back once, not before this returns.
-    void ask(Backend const&, OnState);
+    void query(Backend const&, OnState);
 
 private:
     /// A host that lives answers within its round trip, a lossy link may take a second packet.
-    static constexpr Duration patience = 400ms;
+    static constexpr Duration timeout = 400ms;
 
     void connect(Http::tcp::endpoint const&);
-    void answer(Http::tcp::endpoint const&, ProcessState);
+    void complete(Http::tcp::endpoint const&, ProcessState);
 
     boost::asio::io_context& loop;
     std::map<Http::tcp::endpoint, std::vector<OnState>> waiting;
--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -16,35 +16,36 @@
 }
 
 Quarantine::Change Quarantine::merge(
-    RequestFingerprint const& request, std::set<ServerProcess> const& ended, Duration told_hold, Instant now)
+    RequestFingerprint const& request, std::set<ServerProcess> const& terminated, Duration announced_hold, Instant now)
 {
     if (this->is_recently_cleared(request, now))
         return Change::Nothing;
     auto found = this->entries.find(request);
     bool const was_held = found != this->entries.end() && found->second.held_until;
-    std::set<ServerProcess> news;
-    for (auto const& process : ended) {
+    std::set<ServerProcess> new_processes;
+    for (auto const& process : terminated) {
         bool const is_known = found != this->entries.end() && found->second.terminated_under.contains(process);
         if (!is_known && (was_held || !this->is_attributed(process)))
-            news.insert(process);
+            new_processes.insert(process);
     }
-    bool const is_told_held = told_hold > 0s;
-    if (news.empty() && (was_held || !is_told_held))
+    bool const is_announced_held = announced_hold > 0s;
+    if (new_processes.empty() && (was_held || !is_announced_held))
         return Change::Nothing;
     if (found == this->entries.end()) {
-        this->make_room(request.organisation);
+        this->evict_if_full(request.organisation);
         found = this->entries.try_emplace(request).first;
         ++this->count_of_organisation[request.organisation];
     }
     auto& entry = found->second;
-    for (auto const& process : news) {
-        if (entry.terminated_under.size() < most_processes)
+    for (auto const& process : new_processes) {
+        if (entry.terminated_under.size() < max_processes)
             entry.terminated_under.insert(process);
     }
     entry.changed_at = now;
     bool const has_enough = entry.terminated_under.size() >= terminations_until_quarantine;
-    if (is_told_held || has_enough) {
-        auto const until = now + (has_enough && !news.empty() ? retention_time : std::min(told_hold, retention_time));
+    if (is_announced_held || has_enough) {
+        auto const until
+            = now + (has_enough && !new_processes.empty() ? retention_time : std::min(announced_hold, retention_time));
         entry.held_until = std::max(entry.held_until.value_or(until), until);
         this->attribute_to(request);
     }
@@ -73,8 +74,8 @@
     std::vector<RequestFingerprint> released;
     std::erase_if(this->entries, [&](auto const& item) {
         auto const& [request, entry] = item;
-        bool const is_over = entry.held_until ? *entry.held_until <= now : now - entry.changed_at >= retention_time;
-        if (!is_over)
+        bool const is_expired = entry.held_until ? *entry.held_until <= now : now - entry.changed_at >= retention_time;
+        if (!is_expired)
             return false;
         --this->count_of_organisation[request.organisation];
         if (entry.held_until)
@@ -87,20 +88,20 @@
 
 bool Quarantine::is_recently_cleared(RequestFingerprint const& request, Instant now) const
 {
-    auto found = this->innocent_until.find(request);
-    return found != this->innocent_until.end() && now < found->second;
+    auto found = this->cleared_until.find(request);
+    return found != this->cleared_until.end() && now < found->second;
 }
 
 void Quarantine::record_cleared(RequestFingerprint const& request, Instant now)
 {
-    this->innocent_until[request] = now + innocent_for;
-    this->innocent_order.emplace_back(now + innocent_for, request);
-    while (this->innocent_order.front().first <= now || this->innocent_order.size() > most_innocent) {
-        auto const& [until, oldest] = this->innocent_order.front();
-        auto found = this->innocent_until.find(oldest);
-        if (found != this->innocent_until.end() && found->second == until)
-            this->innocent_until.erase(found);
-        this->innocent_order.pop_front();
+    this->cleared_until[request] = now + clearance_lifetime;
+    this->cleared_order.emplace_back(now + clearance_lifetime, request);
+    while (this->cleared_order.front().first <= now || this->cleared_order.size() > max_cleared) {
+        auto const& [until, oldest] = this->cleared_order.front();
+        auto found = this->cleared_until.find(oldest);
+        if (found != this->cleared_until.end() && found->second == until)
+            this->cleared_until.erase(found);
+        this->cleared_order.pop_front();
     }
 }
 
@@ -113,11 +114,11 @@
 /// What ran beside the request that is held back did not end these processes.
 void Quarantine::attribute_to(RequestFingerprint const& held)
 {
-    auto const explained = this->entries.at(held).terminated_under;
+    auto const attributed = this->entries.at(held).terminated_under;
     for (auto& [request, entry] : this->entries) {
         if (!entry.held_until)
             std::erase_if(
-                entry.terminated_under, [&](ServerProcess const& process) { return explained.contains(process); });
+                entry.terminated_under, [&](ServerProcess const& process) { return attributed.contains(process); });
     }
     std::erase_if(this->entries, [&](auto const& item) {
         auto const& [request, entry] = item;
@@ -128,16 +129,16 @@
     });
 }
 
-void Quarantine::make_room(OrganisationId const& organisation)
+void Quarantine::evict_if_full(OrganisationId const& organisation)
 {
-    if (this->count_of_organisation[organisation] >= most_of_organisation)
-        this->drop_oldest(organisation);
-    else if (this->entries.size() >= most_entries)
-        this->drop_oldest({});
+    if (this->count_of_organisation[organisation] >= max_entries_per_organisation)
+        this->evict_oldest(organisation);
+    else if (this->entries.size() >= max_entries)
+        this->evict_oldest({});
 }
 
 /// Those that are only suspected go first.
-void Quarantine::drop_oldest(std::optional<OrganisationId> const& of)
+void Quarantine::evict_oldest(std::optional<OrganisationId> const& of)
 {
     auto oldest = this->entries.end();
     auto order = [](Entry const& entry) { return std::pair(entry.held_until.has_value(), entry.changed_at); };
@@ -151,7 +152,7 @@
         return;
     --this->count_of_organisation[oldest->first.organisation];
     this->entries.erase(oldest);
-    ++this->dropped_total;
+    ++this->evicted_total;
 }
 
 }
--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -36,7 +36,7 @@
     static constexpr Duration retention_time = 1h;
 
     struct Entry {
-        std::set<ServerProcess> ended;
+        std::set<ServerProcess> terminated_under;
         /// Nothing while it is not held back.
         std::optional<Instant> held_until;
         Instant changed_at {};
@@ -54,7 +54,7 @@
     /// This host has seen `process` end under the request, and did not expect it.
     Change record_termination(RequestFingerprint const&, ServerProcess const& process, Instant now);
     /// Another host knows that these processes have ended under the request, and holds it back for so long.
-    Change merge(RequestFingerprint const&, std::set<ServerProcess> const& ended, Duration held_for, Instant now);
+    Change merge(RequestFingerprint const&, std::set<ServerProcess> const& terminated, Duration held_for, Instant now);
     /// The request has run to its end somewhere. Answers whether it was suspected or held back.
     bool clear(RequestFingerprint const&, Instant now);
     /// For how much longer the request is held back; nothing if it is not.
@@ -64,32 +64,32 @@
 
     [[nodiscard]] Entries const& all() const { return this->entries; }
     /// Entries that were let go because their organisation, or all together, had too many.
-    [[nodiscard]] u64 dropped() const { return this->dropped_total; }
+    [[nodiscard]] u64 dropped() const { return this->evicted_total; }
 
 private:
     /// One organisation's flood pushes out its own entries only.
-    static constexpr size_t most_of_organisation = 64;
+    static constexpr size_t max_entries_per_organisation = 64;
     /// Half a kilobyte each at most.
-    static constexpr size_t most_entries = 2048;
+    static constexpr size_t max_entries = 2048;
     /// A process that ended beside these tells nothing new of the request.
-    static constexpr size_t most_processes = 16;
+    static constexpr size_t max_processes = 16;
     /// A request that is sent by many callers at once is on several servers when they crash together; one of its runs
     /// that has ended well lately shows that it is not the cause.
-    static constexpr Duration innocent_for = 1min;
-    static constexpr size_t most_innocent = 4096;
+    static constexpr Duration clearance_lifetime = 1min;
+    static constexpr size_t max_cleared = 4096;
 
     [[nodiscard]] bool is_recently_cleared(RequestFingerprint const&, Instant now) const;
     [[nodiscard]] bool is_attributed(ServerProcess const&) const;
     void record_cleared(RequestFingerprint const&, Instant now);
     void attribute_to(RequestFingerprint const& held);
-    void make_room(OrganisationId const&);
-    void drop_oldest(std::optional<OrganisationId> const& of);
+    void evict_if_full(OrganisationId const&);
+    void evict_oldest(std::optional<OrganisationId> const& of);
 
     Entries entries;
     std::map<OrganisationId, size_t> count_of_organisation;
-    std::map<RequestFingerprint, Instant> innocent_until;
-    std::deque<std::pair<Instant, RequestFingerprint>> innocent_order;
-    u64 dropped_total { 0 };
+    std::map<RequestFingerprint, Instant> cleared_until;
+    std::deque<std::pair<Instant, RequestFingerprint>> cleared_order;
+    u64 evicted_total { 0 };
 };
 
 }
--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -40,43 +40,43 @@
         bool const may_call = !this->is_calling && !this->context.reach.platform_lost_here();
         if (!may_call || this->context.now() < this->next_call_at)
             return;
-        if (this->is_to_be_read())
-            return this->read_from({});
-        if (!this->unwritten.empty())
-            this->write(this->unwritten.begin()->first, this->unwritten.begin()->second);
+        if (this->needs_read())
+            return this->read_page({});
+        if (!this->pending_writes.empty())
+            this->write(this->pending_writes.begin()->first, this->pending_writes.begin()->second);
     }
 
 private:
-    static constexpr Duration answer_patience = 2s;
+    static constexpr Duration response_timeout = 2s;
     static constexpr Duration retry_delay = 1s;
     /// By then a host that has just started has heard from those that were there before it.
-    static constexpr Duration time_to_be_told = 1s;
+    static constexpr Duration announcement_wait = 1s;
     /// The first reader of a domain reads; a host that has not been told by then reads itself.
-    static constexpr Duration time_of_first_reader = 1s;
+    static constexpr Duration primary_reader_wait = 1s;
 
-    [[nodiscard]] bool is_to_be_read() const
+    [[nodiscard]] bool needs_read() const
     {
         if (this->context.knows_quarantine)
             return false;
         auto const now = this->context.now();
         auto const age = now - this->started_at;
-        if (age < time_to_be_told)
+        if (age < announcement_wait)
             return false;
-        return age >= time_to_be_told + time_of_first_reader
+        return age >= announcement_wait + primary_reader_wait
             || this->context.reach.is_first_reader(this->own_address, now);
     }
 
-    void read_from(std::string const& first_key)
+    void read_page(std::string const& first_key)
     {
         this->is_calling = true;
-        this->store.list(table, first_key, answer_patience, [this](Result<Platform::RowPage> page) {
+        this->store.list(table, first_key, response_timeout, [this](Result<Platform::RowPage> page) {
             this->is_calling = false;
             if (!page)
-                return this->again_later();
+                return this->schedule_retry();
             for (auto const& row : page.value().rows)
-                this->take(row);
+                this->apply(row);
             if (page.value().more && !page.value().rows.empty())
-                return this->read_from(Platform::key_after(page.value().rows.back()));
+                return this->read_page(Platform::key_after(page.value().rows.back()));
             this->context.knows_quarantine = true;
         });
     }
@@ -87,25 +87,25 @@
         return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
     }
 
-    void take(Platform::Row const& row)
+    void apply(Platform::Row const& row)
     {
-        wire::QuarantineRow said;
+        wire::QuarantineRow stored;
         // One that cannot be read is of a version to come.
-        if (!said.ParseFromString(row.value))
+        if (!stored.ParseFromString(row.value))
             return;
-        auto const left = std::chrono::milliseconds(said.held_until_unix_milliseconds() - unix_milliseconds());
+        auto const left = std::chrono::milliseconds(stored.held_until_unix_milliseconds() - unix_milliseconds());
         if (left <= 0s) {
-            this->unwritten[row.key] = {};
+            this->pending_writes[row.key] = {};
             return;
         }
         wire::HostUse message;
         auto& ending = *message.add_ending();
-        ending.set_organisation(said.organisation());
-        ending.set_digest(said.digest());
+        ending.set_organisation(stored.organisation());
+        ending.set_digest(stored.digest());
         ending.set_held_milliseconds(static_cast<u32>(left.count()));
         apply_request_terminations(this->context, message);
         // It is there already.
-        this->unwritten.erase(row.key);
+        this->pending_writes.erase(row.key);
     }
 
     /// Hosts that hear the same others agree on who writes.
@@ -115,7 +115,7 @@
         auto const& own_domain = this->context.settings.failure_domain;
         if (!this->context.reach.looks_after(this->own_address, key, own_domain, this->context.now()))
             return;
-        this->unwritten[key] = {};
+        this->pending_writes[key] = {};
         if (!is_held)
             return;
         auto const left = this->context.quarantine.held_for(request, this->context.now()).value_or(0s);
@@ -123,7 +123,7 @@
         row.set_organisation(request.organisation.value());
         row.set_digest(request.digest);
         row.set_held_until_unix_milliseconds(unix_milliseconds() + AK::to_milliseconds(left));
-        this->unwritten[key] = row.SerializeAsString();
+        this->pending_writes[key] = row.SerializeAsString();
     }
 
     void write(std::string const& key, std::optional<std::string> const& value)
@@ -132,19 +132,19 @@
         auto on_done = [this, key, value](Result<void> done) {
             this->is_calling = false;
             if (!done)
-                return this->again_later();
+                return this->schedule_retry();
             // It may have changed meanwhile.
-            auto found = this->unwritten.find(key);
-            if (found != this->unwritten.end() && found->second == value)
-                this->unwritten.erase(found);
+            auto found = this->pending_writes.find(key);
+            if (found != this->pending_writes.end() && found->second == value)
+                this->pending_writes.erase(found);
         };
         if (value)
-            this->store.put(table, key, *value, answer_patience, on_done);
+            this->store.put(table, key, *value, response_timeout, on_done);
         else
-            this->store.remove(table, key, answer_patience, on_done);
+            this->store.remove(table, key, response_timeout, on_done);
     }
 
-    void again_later() { this->next_call_at = this->context.now() + retry_delay; }
+    void schedule_retry() { this->next_call_at = this->context.now() + retry_delay; }
 
     ServingContext& context;
     Store& store;
@@ -153,7 +153,7 @@
     Instant next_call_at {};
     bool is_calling { false };
     /// What the platform is to hold, by key; nothing for rows that are to go.
-    std::map<std::string, std::optional<std::string>> unwritten;
+    std::map<std::string, std::optional<std::string>> pending_writes;
 };
 
 }
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -14,12 +14,12 @@
 static constexpr Duration first_avoidance = 250ms;
 /// One that refuses on is tried once in this time by one of all hosts: a try costs its request a further dispatch, and
 /// a backend server that takes work again waits for it.
-static constexpr Duration longest_avoidance = 4s;
+static constexpr Duration max_avoidance = 4s;
 
 static Duration avoidance_after(u32 refusals)
 {
-    constexpr u32 most_doublings = 4;
-    return std::min(longest_avoidance, first_avoidance * (1 << std::min(refusals - 1, most_doublings)));
+    constexpr u32 max_doublings = 4;
+    return std::min(max_avoidance, first_avoidance * (1 << std::min(refusals - 1, max_doublings)));
 }
 
 static void log_avoidance(
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -9,11 +9,11 @@
 namespace Serving {
 
 /// A datagram that is lost comes again with the next whole messages: three of the slowest.
-static constexpr Duration told_again_for = 3s;
+static constexpr Duration reannounced_for = 3s;
 /// Of those that are held back, in one whole message: 30 bytes each.
 static constexpr size_t max_quarantined_per_message = 8;
 /// For a host that has just started: 7 KB.
-static constexpr size_t most_told_at_start = 64;
+static constexpr size_t max_requests_at_start = 64;
 
 static void apply(ServingContext& context, RequestFingerprint const& request, Quarantine::Change change)
 {
@@ -66,10 +66,10 @@
     }
 }
 
-static std::set<ServerProcess> processes_in(wire::EndingRequest const& said)
+static std::set<ServerProcess> processes_in(wire::EndingRequest const& entry)
 {
     std::set<ServerProcess> processes;
-    for (auto const& process : said.ended())
+    for (auto const& process : entry.ended())
         processes.insert({ EngineId(process.backend()), ServerStart(process.start()) });
     return processes;
 }
@@ -77,16 +77,16 @@
 void apply_request_terminations(ServingContext& context, wire::HostUse const& message)
 {
     auto const now = context.now();
-    for (auto const& said : message.ending()) {
-        RequestFingerprint const request { OrganisationId(said.organisation()), said.digest() };
-        if (said.is_cleared()) {
+    for (auto const& entry : message.ending()) {
+        RequestFingerprint const request { OrganisationId(entry.organisation()), entry.digest() };
+        if (entry.is_cleared()) {
             bool const was_held = context.quarantine.held_for(request, now).has_value();
             if (context.quarantine.clear(request, now) && was_held)
                 log_release(context, request, "a run of it has ended well elsewhere");
             continue;
         }
-        auto const held_for = std::chrono::milliseconds(said.held_milliseconds());
-        apply(context, request, context.quarantine.merge(request, processes_in(said), held_for, now));
+        auto const held_for = std::chrono::milliseconds(entry.held_milliseconds());
+        apply(context, request, context.quarantine.merge(request, processes_in(entry), held_for, now));
     }
     if (message.knows_quarantine())
         context.knows_quarantine = true;
@@ -94,29 +94,29 @@
 
 static wire::EndingRequest& add_request(wire::HostUse& message, RequestFingerprint const& request)
 {
-    auto& said = *message.add_ending();
-    said.set_organisation(request.organisation.value());
-    said.set_digest(request.digest);
-    return said;
+    auto& entry = *message.add_ending();
+    entry.set_organisation(request.organisation.value());
+    entry.set_digest(request.digest);
+    return entry;
 }
 
-static void set_hold(wire::EndingRequest& said, ServingContext const& context, RequestFingerprint const& request)
+static void set_hold(wire::EndingRequest& entry, ServingContext const& context, RequestFingerprint const& request)
 {
     auto const held_for = context.quarantine.held_for(request, context.now()).value_or(0s);
-    said.set_held_milliseconds(static_cast<u32>(AK::to_milliseconds(held_for)));
+    entry.set_held_milliseconds(static_cast<u32>(AK::to_milliseconds(held_for)));
 }
 
 void put_request_termination(wire::HostUse& message, ServingContext const& context, RequestFingerprint const& request)
 {
-    auto& said = add_request(message, request);
+    auto& entry = add_request(message, request);
     auto const found = context.quarantine.all().find(request);
     if (found == context.quarantine.all().end())
-        return said.set_is_cleared(true);
-    set_hold(said, context, request);
+        return entry.set_is_cleared(true);
+    set_hold(entry, context, request);
     for (auto const& process : found->second.terminated_under) {
-        auto& ended = *said.add_ended();
-        ended.set_backend(process.server.value());
-        ended.set_start(process.start.value());
+        auto& terminated = *entry.add_ended();
+        terminated.set_backend(process.server.value());
+        terminated.set_start(process.start.value());
     }
 }
 
@@ -125,7 +125,7 @@
     message.set_knows_quarantine(context.knows_quarantine);
     std::vector<RequestFingerprint> held;
     for (auto const& [request, entry] : context.quarantine.all()) {
-        if (context.now() - entry.changed_at < told_again_for)
+        if (context.now() - entry.changed_at < reannounced_for)
             put_request_termination(message, context, request);
         else if (entry.held_until)
             held.push_back(request);
@@ -140,10 +140,10 @@
 void put_all_request_terminations(wire::HostUse& message, ServingContext const& context)
 {
     message.set_knows_quarantine(context.knows_quarantine);
-    size_t told = 0;
+    size_t added = 0;
     auto put = [&](bool is_held) {
         for (auto const& [request, entry] : context.quarantine.all()) {
-            if (entry.held_until.has_value() == is_held && told++ < most_told_at_start)
+            if (entry.held_until.has_value() == is_held && added++ < max_requests_at_start)
                 put_request_termination(message, context, request);
         }
     };
--- a/Libraries/LibServing/RetryBudget.cpp
+++ b/Libraries/LibServing/RetryBudget.cpp
@@ -12,10 +12,10 @@
 
 /// From the decision to repeat until the backend server has the request: a new connection's first packet that is lost
 /// is sent again after a second.
-static constexpr Duration longest_way = 1s;
+static constexpr Duration max_delivery_time = 1s;
 /// One repeat, which five requests earn at the usual ratio. A host that has just started may be the only one that saves
 /// it, or one of many: it is within the part of each as long as the allowance has a repeat for every host.
-static constexpr double most_saved_without_part = 1;
+static constexpr double max_saved_without_share = 1;
 
 void RetryBudget::set_limits(Limits changed)
 {
@@ -31,19 +31,19 @@
     this->sharing_hosts = hosts;
 }
 
-Duration RetryBudget::accounting_window() const { return this->limits.window + longest_way; }
+Duration RetryBudget::accounting_window() const { return this->limits.window + max_delivery_time; }
 
-RetryBudget::Part RetryBudget::share_at(Instant now) const
+RetryBudget::Share RetryBudget::share_at(Instant now) const
 {
-    bool const has_part = this->sharing_hosts && now - this->known_since >= this->accounting_window();
-    if (!has_part)
-        return { 0, most_saved_without_part, 0 };
+    bool const has_share = this->sharing_hosts && now - this->known_since >= this->accounting_window();
+    if (!has_share)
+        return { 0, max_saved_without_share, 0 };
     auto const hosts = std::max({ 1U, this->limits.hosts, *this->sharing_hosts });
-    auto const part = this->limits.allowance / hosts;
+    auto const share = this->limits.allowance / hosts;
     // What can be saved is the fraction that makes no whole repeat, and one more: less could never be spent. So a part
     // of less than one repeat is none.
-    auto const whole = std::max(1.0, std::floor(part));
-    return { hosts, std::min(part, part - whole + 1), static_cast<u32>(whole) - 1 };
+    auto const whole = std::max(1.0, std::floor(share));
+    return { hosts, std::min(share, share - whole + 1), static_cast<u32>(whole) - 1 };
 }
 
 void RetryBudget::record_request(ServiceName const& service, Instant now)
@@ -55,19 +55,19 @@
 RetryBudget::Decision RetryBudget::take(ServiceName const& service, Instant now)
 {
     auto& account = this->accounts[service];
-    auto const part = this->share_at(now);
-    account.earned = std::min(account.earned, part.max_saved);
+    auto const share = this->share_at(now);
+    account.earned = std::min(account.earned, share.max_saved);
     auto const spent = account.spent_allowance.upper_bound_within(this->accounting_window(), now);
-    auto const of_allowance = part.in_window - std::min(part.in_window, spent);
+    auto const of_allowance = share.in_window - std::min(share.in_window, spent);
     auto const left = std::floor(account.earned) + of_allowance;
     if (left < 1)
-        return { false, left, part.hosts };
+        return { false, left, share.hosts };
     // Requests go on earning, so what they have earned goes first.
     if (account.earned >= 1)
         account.earned -= 1;
     else
         account.spent_allowance.add(now, this->accounting_window());
-    return { true, left - 1, part.hosts };
+    return { true, left - 1, share.hosts };
 }
 
 }
--- a/Libraries/LibServing/RetryBudget.h
+++ b/Libraries/LibServing/RetryBudget.h
@@ -62,16 +62,16 @@
     struct Account {
         /// By requests, and not used yet.
         double earned { 0 };
-        RecentCount of_allowance;
+        RecentCount spent_allowance;
     };
     /// This host's part of the allowance.
-    struct Part {
+    struct Share {
         /// 0: it has none yet.
         u32 hosts { 0 };
         double max_saved { 0 };
         u32 in_window { 0 };
     };
-    [[nodiscard]] Part share_at(Instant now) const;
+    [[nodiscard]] Share share_at(Instant now) const;
     /// A repeat counts for longer than a window, since it may reach its backend server later than it was granted.
     [[nodiscard]] Duration accounting_window() const;
 
--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -12,36 +12,36 @@
 
 /// Requests may arrive closer together than they were sent: the time that a connection may take to come up is part of
 /// the span in which they count.
-static constexpr Duration longest_delay = 400ms;
+static constexpr Duration max_delivery_delay = 400ms;
 /// In which a cold server bears as many as are configured.
-static constexpr Duration cold_span = 1s;
+static constexpr Duration cold_start_window = 1s;
 /// Hosts that join have no part in the first span, so half of the shortest is soon enough.
-static constexpr Duration part_lifetime = 500ms;
+static constexpr Duration share_lifetime = 500ms;
 
 /// A server that gets nothing cannot say that it is well again. After so long without a word it is tried as any other,
 /// by one host before the others.
-static constexpr Duration shortest_limit_lifetime = 20s;
-static constexpr Duration longest_limit_lifetime = 30s;
+static constexpr Duration min_limit_lifetime = 20s;
+static constexpr Duration max_limit_lifetime = 30s;
 
 Duration ServerLimits::limit_lifetime_of(Address const& own_address)
 {
     auto const& text = own_address.value();
-    auto const spread = static_cast<u64>((longest_limit_lifetime - shortest_limit_lifetime).count());
-    return shortest_limit_lifetime + Duration(XXH3_64bits(text.data(), text.size()) % spread);
+    auto const spread = static_cast<u64>((max_limit_lifetime - min_limit_lifetime).count());
+    return min_limit_lifetime + Duration(XXH3_64bits(text.data(), text.size()) % spread);
 }
 
 u32 ServerLimits::requests_in_span(RequestRate limit)
 {
-    constexpr double most = 1e9;
+    constexpr double max_requests = 1e9;
     // One at least: it finds out what the limit is then.
-    return static_cast<u32>(std::clamp(limit.value() * AK::to_seconds(rate_limit_window), 1.0, most));
+    return static_cast<u32>(std::clamp(limit.value() * AK::to_seconds(rate_limit_window), 1.0, max_requests));
 }
 
 std::optional<ServerLimits::Bound> ServerLimits::rate_limit_bound(Backend const& backend, Instant now) const
 {
     if (!backend.limit || now - *backend.limit_heard_at >= this->limit_lifetime)
         return {};
-    return Bound { Ground::Named, requests_in_span(*backend.limit), rate_limit_window + longest_delay };
+    return Bound { BoundReason::RateLimit, requests_in_span(*backend.limit), rate_limit_window + max_delivery_delay };
 }
 
 std::optional<ServerLimits::Bound> ServerLimits::cold_start_bound(Backend const& backend, Instant now) const
@@ -52,20 +52,20 @@
     if (!service || service->cold_requests_per_second <= 0)
         return {};
     auto const requests = static_cast<u32>(std::max(1.0, service->cold_requests_per_second));
-    return Bound { Ground::Cold, requests, cold_span + longest_delay };
+    return Bound { BoundReason::ColdStart, requests, cold_start_window + max_delivery_delay };
 }
 
 u32 ServerLimits::own_share(Backend const& backend, Bound const& bound, Instant now) const
 {
-    std::erase_if(this->parts, [now](auto const& entry) { return now - entry.second.worked_out_at >= part_lifetime; });
+    std::erase_if(this->shares, [now](auto const& entry) { return now - entry.second.computed_at >= share_lifetime; });
     auto const& server = backend.server;
-    auto& part = this->parts[{ server.id, server.start, bound.ground }];
-    if (part.whole != bound.requests) {
+    auto& share = this->shares[{ server.id, server.start, bound.reason }];
+    if (share.total != bound.requests) {
         auto const subject = server.id.value() + '/' + std::to_string(server.start.value());
         auto const units = this->reach.part_of(bound.requests, this->own_address, subject, server.failure_domain, now);
-        part = { bound.requests, units, now };
+        share = { bound.requests, units, now };
     }
-    return part.units;
+    return share.units;
 }
 
 bool ServerLimits::is_within(std::optional<Bound> const& bound, Backend const& backend, Instant now) const
@@ -73,9 +73,9 @@
     if (!bound)
         return true;
     // What this host's former process sent counts as well, and it has left the span by then.
-    if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->span)
+    if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->window)
         return false;
-    return backend.sent.upper_bound_within(bound->span, now) < this->own_share(backend, *bound, now);
+    return backend.sent.upper_bound_within(bound->window, now) < this->own_share(backend, *bound, now);
 }
 
 bool ServerLimits::may_send(Backend const& backend, Instant now) const
@@ -87,7 +87,7 @@
 void ServerLimits::record_sent(Backend& backend, Instant now)
 {
     // Always, since what was sent before a limit was heard of counts as well.
-    backend.sent.add(now, rate_limit_window + longest_delay);
+    backend.sent.add(now, rate_limit_window + max_delivery_delay);
 }
 
 }
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -42,17 +42,17 @@
 
 private:
     /// What a backend server bears, and why.
-    enum class Ground : u8 {
+    enum class BoundReason : u8 {
         /// It is cold, and the operator has configured what servers of the service bear then: beyond that it collapses.
-        Cold,
+        ColdStart,
         /// It has named a limit.
-        Named,
+        RateLimit,
     };
     struct Bound {
-        Ground ground;
+        BoundReason reason;
         /// Requests of all hosts in any span of this length.
         u32 requests;
-        Duration span;
+        Duration window;
     };
     [[nodiscard]] std::optional<Bound> cold_start_bound(Backend const&, Instant now) const;
     [[nodiscard]] std::optional<Bound> rate_limit_bound(Backend const&, Instant now) const;
@@ -65,13 +65,13 @@
     Address own_address;
     Duration limit_lifetime;
     std::shared_ptr<RoutingTable const> routing;
-    struct Part {
-        u32 whole { 0 };
+    struct Share {
+        u32 total { 0 };
         u32 units { 0 };
-        Instant worked_out_at {};
+        Instant computed_at {};
     };
     /// By server and start. A walk over all hosts for each such server, for numbers that change when hosts come and go.
-    mutable std::map<std::tuple<EngineId, ServerStart, Ground>, Part> parts;
+    mutable std::map<std::tuple<EngineId, ServerStart, BoundReason>, Share> shares;
 };
 
 }
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -10,18 +10,18 @@
 namespace Serving {
 
 /// Words that move the end by less are not worth a line in the log each.
-static constexpr Duration shortest_logged_extension = 100ms;
+static constexpr Duration min_logged_extension = 100ms;
 
-static void back_off(ServingContext& context, Backend& backend, Duration asked)
+static void back_off(ServingContext& context, Backend& backend, Duration requested)
 {
-    auto const until = context.now() + std::min(asked, context.settings.longest_back_off);
+    auto const until = context.now() + std::min(requested, context.settings.longest_back_off);
     if (until <= backend.back_off_until)
         return;
-    bool const is_news = until - backend.back_off_until >= shortest_logged_extension;
+    bool const is_logged = until - backend.back_off_until >= min_logged_extension;
     backend.back_off_until = until;
-    if (is_news)
+    if (is_logged)
         context.log.event(Core::EventNumber::ServerRequestedBackOff, backend.server.id.value())
-            .with("asked_ms", asked)
+            .with("asked_ms", requested)
             .with("back_off_ms", backend.back_off_left(context.now()));
 }
 
@@ -38,7 +38,7 @@
     backend.note_own_word_to_leave();
 }
 
-static void take_in(ServingContext& context, Backend& backend, AnswerHead const& answer)
+static void apply(ServingContext& context, Backend& backend, AnswerHead const& answer)
 {
     if (answer.back_off_for)
         back_off(context, backend, *answer.back_off_for);
@@ -51,13 +51,13 @@
     // Another process answers at its address.
     if (answer.is_misdirected)
         return;
-    take_in(context, backend, answer);
+    apply(context, backend, answer);
     // Its entry may have lapsed since the request was sent, and have come back.
     auto const listed = context.backends.find(backend.server.id);
     if (!listed)
         return context.backends.keep_own_word(backend, context.now());
     if (listed.get() != &backend && listed->is_start(backend.server.start))
-        take_in(context, *listed, answer);
+        apply(context, *listed, answer);
 }
 
 }
--- a/Libraries/LibServing/Suspicion.cpp
+++ b/Libraries/LibServing/Suspicion.cpp
@@ -10,7 +10,7 @@
 namespace Serving {
 
 /// Another host's word holds no longer than a host's own avoidance may last, whatever it says.
-static constexpr Duration longest_told_avoidance = 2s;
+static constexpr Duration max_announced_avoidance = 2s;
 
 void suspect(ServingContext& context, Backend& backend, Failure const& failure)
 {
@@ -35,7 +35,7 @@
             continue;
         bool const was_avoided = backend->is_avoided(now);
         auto avoidance
-            = std::min<Duration>(std::chrono::milliseconds(said.avoided_milliseconds()), longest_told_avoidance);
+            = std::min<Duration>(std::chrono::milliseconds(said.avoided_milliseconds()), max_announced_avoidance);
         backend->health.told_avoidance[host] = now + avoidance;
         if (was_avoided || !backend->is_avoided(now))
             continue;
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -184,7 +184,7 @@
         return {};
 " ""
 guard "little that was earned is saved" TestFleet "Scenario: all hosts together repeat no more than the bound allows" \
-    Libraries/LibServing/RetryBudget.cpp "std::min(part, part - whole + 1)" "part"
+    Libraries/LibServing/RetryBudget.cpp "std::min(share, share - whole + 1)" "share"
 guard "the allowance is spent once in a window" TestFleet \
     "Scenario: all hosts together repeat no more than the bound allows" \
     Libraries/LibServing/RetryBudget.cpp "account.spent_allowance.upper_bound_within(this->accounting_window(), now)" "0U"
@@ -240,13 +240,13 @@
     Libraries/LibServing/ServerLimits.cpp "< this->own_share(backend, *bound, now)" "< bound->requests"
 guard "cold servers: a host that starts has none" TestFleet \
     "Scenario: all hosts together send a cold server no more than it bears" \
-    Libraries/LibServing/ServerLimits.cpp "if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->span)" "if (false)"
+    Libraries/LibServing/ServerLimits.cpp "if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->window)" "if (false)"
 guard "admission: memory" TestFleet \
     "Scenario: a load beyond what the engines bear does not bring down what they serve in time" \
     Libraries/LibServing/Admission.cpp "return held + wanted + unseen <= memory.value();" "return true;"
 guard "admission: what is to be read" TestLibServing \
     "Scenario: a generation is refused at once while no engine has room for it" \
-    Libraries/LibServing/Admission.cpp "&& reads_in_time(backend, demand)" ""
+    Libraries/LibServing/Admission.cpp "&& prefills_in_time(backend, demand)" ""
 guard "requests that end servers: each process counts once" TestLibServing \
     "Scenario: a request is held back once three servers have ended under it" \
     Libraries/LibServing/Quarantine.cpp "if (!is_known && (was_held" "if ((was_held"
@@ -267,13 +267,13 @@
     "static constexpr size_t max_quarantined_per_message = 0;"
 guard "requests that end servers: kept by the platform" TestHosts \
     "Scenario: a generation that ends every engine that runs it reaches few more once it has ended three" \
-    Libraries/LibServing/QuarantineTable.h "this->unwritten[key] = row.SerializeAsString();" "this->unwritten.erase(key);"
+    Libraries/LibServing/QuarantineTable.h "this->pending_writes[key] = row.SerializeAsString();" "this->pending_writes.erase(key);"
 guard "named limits: each host has its part" TestFleet \
     "Scenario: hosts of any number send a server no more than the limit that it names" \
     Libraries/LibServing/ServerLimits.cpp "< this->own_share(backend, *bound, now)" "< bound->requests"
 guard "named limits: the later word holds" TestLibServing \
     "Scenario: a server's last word of its limit holds, by whichever host it comes" \
-    Libraries/LibServing/RateLimit.cpp "if (backend->limit_heard_at && *backend->limit_heard_at >= heard_at)" "if (false)"
+    Libraries/LibServing/RateLimit.cpp "if (backend->limit_heard_at && *backend->limit_heard_at >= received_at)" "if (false)"
 guard "named limits: callers are sent elsewhere" TestHosts \
     "Scenario: all hosts together send a server no more than the limit that it names" \
     Libraries/LibServing/ServerLimits.cpp "&& this->is_within(this->rate_limit_bound(backend, now), backend, now)" ""
