--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -30,7 +30,7 @@
     return min_limit_lifetime + Duration(XXH3_64bits(text.data(), text.size()) % spread);
 }
 
-u32 ServerLimits::requests_in_span(RequestRate limit)
+u32 ServerLimits::requests_in_window(RequestRate limit)
 {
     constexpr double max_requests = 1e9;
     // One at least: it finds out what the limit is then.
@@ -41,7 +41,7 @@
 {
     if (!backend.limit || now - *backend.limit_heard_at >= this->limit_lifetime)
         return {};
-    return Bound { BoundReason::RateLimit, requests_in_span(*backend.limit), rate_limit_window + max_delivery_delay };
+    return Bound { BoundReason::RateLimit, requests_in_window(*backend.limit), rate_limit_window + max_delivery_delay };
 }
 
 std::optional<ServerLimits::Bound> ServerLimits::cold_start_bound(Backend const& backend, Instant now) const
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -27,7 +27,7 @@
     }
 
     /// How many requests of all hosts a server that names a limit gets in any `rate_limit_window`.
-    [[nodiscard]] static u32 requests_in_span(RequestRate);
+    [[nodiscard]] static u32 requests_in_window(RequestRate);
 
     /// The configuration that is in force from now on.
     void configure(std::shared_ptr<RoutingTable const> routing) { this->routing = std::move(routing); }
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -341,7 +341,7 @@
                 if (chosen->limit && host.now - *chosen->limit_heard_at < limit_surely_holds) {
                     auto const lately = std::ranges::count_if(
                         sent[chosen_id], [&](Instant at) { return host.now - at < ServerLimits::rate_limit_window; });
-                    RC_ASSERT(static_cast<u32>(lately) < ServerLimits::requests_in_span(*chosen->limit));
+                    RC_ASSERT(static_cast<u32>(lately) < ServerLimits::requests_in_window(*chosen->limit));
                 }
                 ServerLimits::record_sent(*chosen, host.now);
                 sent[chosen_id].push_back(host.now);
