--- a/Libraries/LibServing/Admission.cpp
+++ b/Libraries/LibServing/Admission.cpp
@@ -11,13 +11,14 @@
 
 namespace Serving {
 
-/// While it makes the tokens of others in between.
+/// Prompt tokens that an engine reads per second while it also decodes other generations.
 static constexpr double shared_prefill_tokens_per_second = idle_prefill_tokens_per_second / 2;
-/// Hosts of other failure domains hear of a placement later than those of the engine's own, and may choose it
-/// meanwhile: an engine elsewhere must have room for so many more generations like this one.
+/// Hosts of other failure domains learn of a placement later than the hosts of the engine's own domain, and may choose
+/// the same engine in the meantime. A remote engine must therefore have free memory for this many more generations of
+/// the same size.
 static constexpr i64 remote_reserve_generations = 2;
-/// A shortage lasts for as long as generations take to end, some seconds; within half a second room may come free at
-/// one engine of many.
+/// A shortage lasts until running generations end, which takes some seconds. In a pool of many engines one may regain
+/// capacity within half a second.
 static constexpr Duration min_retry_after = 200ms;
 static constexpr Duration max_retry_after = 400ms;
 
@@ -46,7 +47,7 @@
     auto const wanted = need.prompt.value() + need.expected_output.value();
     bool const is_remote = backend.server.failure_domain != inputs.host_failure_domain;
     auto const held = estimated_tokens(backend, inputs.now);
-    // What an empty engine takes does not depend on who decides.
+    // An empty engine accepts the same generations from local and remote hosts.
     auto const unseen = is_remote && held > 0 ? remote_reserve_generations * wanted : 0;
     return held + wanted + unseen <= memory.value();
 }
@@ -56,8 +57,8 @@
     return AK::from_seconds(static_cast<double>(tokens) / shared_prefill_tokens_per_second);
 }
 
-/// Nothing is read sooner than by an engine that has nothing else to read. A prompt that takes longer than its route's
-/// goal in any case may have as much before it as it has itself.
+/// An idle engine reads a prompt as early as possible, so it always qualifies. If the prompt alone takes longer than
+/// the goal of the route, the backlog ahead of it may be as large as the prompt itself.
 static bool prefills_in_time(Backend const& backend, AdmissionDemand const& demand)
 {
     auto const before = backend.engine.unread_tokens();
@@ -88,7 +89,8 @@
         decision.verdict = AdmissionVerdict::TooLarge;
         return decision;
     }
-    // What is expected of its output may be too much by far; alone it has all of the memory to grow in.
+    // The expected output may be far too high. A generation that runs alone can use all of the engine's memory, so the
+    // estimate is limited to the memory that the prompt leaves free.
     auto bounded = demand;
     if (memory.value() > 0)
         bounded.need.expected_output
--- a/Libraries/LibServing/Admission.h
+++ b/Libraries/LibServing/Admission.h
@@ -8,47 +8,47 @@
 
 #include <LibServing/BackendChooser.h>
 
-/// Admission control: which generations the engines of a service take, and which are refused while there is no room.
-/// It looks at nothing but its arguments.
+/// Admission control: chooses the engine of a service that runs a generation, or rejects the generation while no engine
+/// has free capacity. The decision depends only on the arguments.
 namespace Serving {
 
-/// What one generation asks of the engines of its service.
+/// What one generation demands of the engines of its service.
 struct AdmissionDemand {
     GenerationNeed need;
-    /// Until its first event is due, by its route's goal.
+    /// Time left until the first event is due by the latency goal of the route.
     Duration first_event_due_in { 0 };
 };
 
 enum class AdmissionVerdict : u8 {
     Admit,
-    /// No engine has room. Sent all the same it would wait in an engine's queue until it is late, and hold up those
-    /// behind it.
+    /// No engine has free capacity. A generation that is dispatched anyway would wait in an engine's queue until it is
+    /// late, and would delay the requests behind it.
     NoCapacity,
-    /// No engine may be given work at all.
+    /// No engine accepts new work.
     NoEngine,
-    /// Larger than the memory of an empty engine.
+    /// The prompt is larger than the memory of an empty engine.
     TooLarge,
-    /// All engines that would take work have asked this host to send them nothing for a time.
+    /// Every engine that would accept work has asked this host to back off.
     BackingOff,
 };
 
 std::string_view to_string(AdmissionVerdict);
 
-/// A decision with its grounds.
+/// A decision and the counts that led to it.
 struct Admission {
     AdmissionVerdict verdict { AdmissionVerdict::NoEngine };
-    /// Of Admit only.
+    /// Set for Admit only.
     BackendPointer engine;
-    /// When a caller that gets NoCapacity, NoEngine or BackingOff should come back; drawn, so that those refused
-    /// together do not return together.
+    /// When a caller rejected with NoCapacity, NoEngine or BackingOff should retry. The value is randomised, so that
+    /// callers rejected together do not return together.
     Duration retry_after { 0 };
-    /// Engines that may be given work, and those of them that had room.
+    /// Number of engines that accept work, and number of those with free capacity.
     u32 serving { 0 };
     u32 with_capacity { 0 };
 };
 
-/// Whether one of the engines takes the generation, and which one. Passes over those in `tried`. `memory`: of one
-/// engine; 0 where it is not known.
+/// Decides whether one of the engines runs the generation, and which one. Skips the engines in `tried`. `memory` is the
+/// memory of one engine, or 0 if it is unknown.
 Admission admit(std::span<BackendPointer const> candidates, std::span<EngineId const> tried, AdmissionDemand const&,
     TokenCount memory, ChoiceInputs const&, boost::random::mt19937& random);
 
--- a/Libraries/LibServing/BackendChooser.cpp
+++ b/Libraries/LibServing/BackendChooser.cpp
@@ -10,28 +10,30 @@
 
 namespace Serving {
 
-/// A report of load older than this says nothing of the present: most calls are over by then.
+/// An older load report says nothing about the present load, since most calls have ended by then.
 static constexpr Duration load_report_lifetime = 1s;
-/// Reports of engines in use are asked for several times in this span (EngineReporter), and are half a second old when
-/// they come.
+/// Engines in use are polled several times in this period (EngineReporter). A report is half a second old when it
+/// arrives.
 static constexpr Duration engine_report_lifetime = 3s;
-// Costs below are in parts of a backend server's capacity.
+// The costs below are fractions of a backend server's capacity.
 
-/// A domain whose hosts are all silent is most likely cut off: a connection there would only cost its time-out.
+/// If all hosts of a domain are silent, the domain is most likely partitioned, and a connection attempt would only run
+/// into its timeout.
 static constexpr double silent_domain_cost = 50;
-/// Chosen only when all others are avoided as well.
+/// An avoided server is chosen only if all others are avoided as well.
 static constexpr double avoided_cost = 100;
-/// A backend server that fails every request counts as four times full.
+/// A backend server that fails every request costs as much as one that is four times full.
 static constexpr double failure_cost = 4;
-/// Breaks ties differently on each host, so that hosts with the same view do not all choose the same one.
+/// Breaks ties differently on each host, so that hosts with the same view do not all choose the same server.
 static constexpr double tie_breaking_noise = 0.02;
-/// A backlog of so many prompt tokens costs as much as a full memory.
+/// A backlog of this many prompt tokens costs as much as a full memory.
 static constexpr double unread_tokens_scale = idle_prefill_tokens_per_second;
-/// For each second that a copy would wait for those before it: the time an engine gives before it ends is one or two.
+/// Cost per second that a copy would wait for the transfers before it. An engine that leaves gives only one or two
+/// seconds before it terminates.
 static constexpr double copy_wait_cost = 0.5;
-/// Memory beyond this share is where running generations would begin to push each other out.
+/// Above this share of the memory, running generations would begin to evict each other.
 static constexpr double crowded_share = 0.9;
-/// For each part of the memory beyond it, and once for an engine whose slots are all taken.
+/// Cost per unit of memory share above that threshold, and the flat cost of an engine whose slots are all taken.
 static constexpr double crowded_cost = 10;
 
 static double common_cost(Backend const& backend, ChoiceInputs const& inputs, boost::random::mt19937& random)
--- a/Libraries/LibServing/BackendChooser.h
+++ b/Libraries/LibServing/BackendChooser.h
@@ -13,33 +13,37 @@
 
 namespace Serving {
 
-/// Prompt tokens that an engine reads in a second if it does nothing else.
+/// Prompt tokens that an otherwise idle engine reads per second.
 inline constexpr double idle_prefill_tokens_per_second = 14'000;
 
-/// What a choice depends on beside the candidates.
+/// The inputs of a choice besides the candidates.
 struct ChoiceInputs {
-    /// Backend servers of all other domains cost more; for a copy that of its source.
+    /// Backend servers of other failure domains cost more than those of this one. For a copy, this is the domain of its
+    /// source.
     FailureDomainId own_failure_domain;
-    /// Other failure domains that seem to be cut off from this one.
+    /// Other failure domains that seem to be partitioned from this one.
     std::vector<FailureDomainId> silent_domains;
     Instant now;
-    /// What it costs, in parts of a backend server's capacity, to choose one in another failure domain.
+    /// Extra cost of a backend server in another failure domain, as a fraction of a backend server's capacity.
     double other_domain_cost { 0 };
-    /// Tokens of a copy that an engine's link takes in a second; for a copy only, which has to wait for those before
-    /// it.
+    /// Tokens per second that an engine's link can receive. Set for copies only: a copy waits for the transfers that
+    /// are queued before it.
     std::optional<double> copied_tokens_per_second {};
-    /// The host's own domain: what it believes of others is older, and as many deciders believe the same.
+    /// The failure domain of this host. Its view of other domains is older, and many other hosts choose by the same
+    /// view.
     FailureDomainId host_failure_domain {};
-    /// Generations that hosts of this domain may have placed in other domains without this one having heard of it.
+    /// Estimated number of generations that hosts of this domain have placed in other domains and that this host does
+    /// not know of yet.
     double unseen_placements { 0 };
-    /// Null for copies: a generation goes on there seconds later. None goes to a server that names a limit.
+    /// Null for copies, because the generation resumes at the new engine only seconds later. Servers with a rate limit
+    /// receive no copies.
     ServerLimits const* server_limits { nullptr };
 };
 
-/// Whether it may be given work now, was not tried, and bears more by its bounds.
+/// Whether the backend server accepts work now, was not tried yet, and can handle one more request within its limits.
 bool is_candidate(Backend const&, std::span<EngineId const> tried, ChoiceInputs const&);
 
-/// Keeps the one that costs least of those it is offered.
+/// Selects the candidate with the lowest cost.
 class Cheapest {
 public:
     void offer(BackendPointer const& backend, double cost)
@@ -49,7 +53,7 @@
         this->best = backend;
         this->lowest = cost;
     }
-    /// Null when nothing was offered.
+    /// Null if no candidate was offered.
     [[nodiscard]] BackendPointer const& backend() const { return this->best; }
 
 private:
@@ -57,23 +61,23 @@
     double lowest { 0 };
 };
 
-/// A backend server for a call to a plain service: the least busy by what this host has there and by what it last said
-/// of itself, with those that fail and those of other failure domains counted as busier. Passes over those in `tried`.
-/// Null when no other one serves.
+/// Chooses a backend server for a call to a plain service: the least loaded one by this host's requests in flight there
+/// and by the server's last load report. Failing servers and servers of other failure domains count as more loaded.
+/// Skips the servers in `tried`. Returns null if no other one is in service.
 BackendPointer choose_for_call(std::span<BackendPointer const> candidates, std::span<EngineId const> tried,
     ChoiceInputs const& inputs, boost::random::mt19937& random);
 
-/// What a generation will need of its engine.
+/// The tokens that a generation will need in the memory of its engine.
 struct GenerationNeed {
     TokenCount prompt;
     TokenCount expected_output;
 };
 
-/// What it costs, in parts of an engine's capacity, to give a generation to it: prompts that wait to be read there,
-/// memory in use, and what all backend servers cost.
+/// The cost of placing a generation on an engine, as a fraction of the engine's capacity: the backlog of unread
+/// prompts, the memory in use, and the costs common to all backend servers.
 class GenerationCost {
 public:
-    /// Refers to `inputs` and `random`.
+    /// Keeps references to `inputs` and `random`.
     GenerationCost(
         GenerationNeed const&, TokenCount memory, ChoiceInputs const& inputs, boost::random::mt19937& random);
     double operator()(Backend const&) const;
@@ -81,19 +85,22 @@
 private:
     double capacity;
     i64 wanted;
-    /// In parts of the capacity. Hosts that all believe the same would all choose the same engine. What they may have
-    /// placed unseen is drawn for each engine, so that they spread over those that are about as good (TestLateBeliefs).
+    /// As a fraction of the capacity. Hosts with the same view would all choose the same engine. The placements that
+    /// this host does not know of yet are therefore drawn at random for each engine, which spreads the hosts over
+    /// engines of similar cost (TestStaleEstimates).
     double unseen;
     ChoiceInputs const& inputs;
     boost::random::mt19937& random;
 };
 
-/// An engine for a generation: the one where prompts that wait to be read and memory in use cost it least.
-/// Passes over those in `tried`. Null when no other one serves; a full engine costs more, but is not passed over.
+/// Chooses the engine with the lowest cost for a generation, by the backlog of unread prompts and the memory in use.
+/// Skips the engines in `tried`. Returns null if no other one is in service. A full engine costs more, but is not
+/// skipped.
 BackendPointer choose_for_generation(std::span<BackendPointer const> candidates, std::span<EngineId const> tried,
     GenerationNeed const& need, TokenCount memory, ChoiceInputs const& inputs, boost::random::mt19937& random);
 
-/// Tokens that an engine holds now: what all hosts say they have there, or what it reports if that is more.
+/// Estimated number of tokens in an engine's memory: the sum that all hosts report for their generations, or the
+/// engine's own report if that is higher.
 i64 estimated_tokens(Backend const&, Instant now);
 
 }
--- a/Libraries/LibServing/EngineClaim.h
+++ b/Libraries/LibServing/EngineClaim.h
@@ -10,7 +10,8 @@
 
 namespace Serving {
 
-/// The part of an engine's memory and time that one generation of this host takes, from its dispatch to its end.
+/// RAII claim for the memory and prompt backlog of one generation of this host at an engine, from its dispatch to its
+/// end.
 class EngineClaim {
 public:
     EngineClaim(BackendPointer backend, i64 held_tokens, i64 unread_tokens)
@@ -33,7 +34,7 @@
         engine.own_unread_tokens -= this->unread;
     }
 
-    /// Its first token has come: the prompt is read.
+    /// Called at the first output token, when the engine has read the whole prompt.
     void prompt_read()
     {
         this->backend->engine.own_unread_tokens -= this->unread;
@@ -53,8 +54,8 @@
     i64 unread;
 };
 
-/// Tokens counted in one account of an engine's load for as long as this lives: what its link has to carry out or take
-/// in, or memory set aside for a copy.
+/// RAII claim that counts tokens in one account of an engine's load: tokens that the engine's link still has to send or
+/// receive, or memory reserved for a copy.
 class TokenClaim {
 public:
     using Account = i64 EngineLoad::*;
--- a/Libraries/LibServing/EngineLoad.h
+++ b/Libraries/LibServing/EngineLoad.h
@@ -11,51 +11,52 @@
 
 namespace Serving {
 
-/// What an engine reports of itself. It is some hundred milliseconds old when it arrives.
+/// An engine's report of its own state. It is a few hundred milliseconds old when it arrives.
 struct EngineReport {
     u32 running { 0 };
     u32 waiting { 0 };
-    /// Memory that cannot be reclaimed.
+    /// Tokens in memory that cannot be reclaimed.
     TokenCount used;
     TokenCount total;
     bool is_leaving { false };
-    /// Of the process that reports.
+    /// The start of the reporting process.
     std::optional<ServerStart> start;
-    /// How long the process will still run, if it knows.
+    /// Time until the process terminates, if it knows.
     std::optional<Duration> ends_in;
 };
 
-/// What some hosts have at an engine, by their own word.
+/// The work of a set of hosts at an engine, as these hosts report it.
 struct EngineWork {
     u32 generations { 0 };
-    /// Held in its memory, with copies that are on their way there.
+    /// Tokens held in the engine's memory, including copies in transit to it.
     i64 tokens { 0 };
-    /// Of prompts that are not read yet.
+    /// Prompt tokens that the engine has not read yet.
     i64 unread_tokens { 0 };
     i64 uncopied_tokens { 0 };
     i64 incoming_tokens { 0 };
     bool operator==(EngineWork const&) const = default;
 };
 
-/// Work at an engine, as far as this host knows.
+/// The work at an engine, as far as this host knows.
 struct EngineLoad {
-    /// Generations of this host: their number, the tokens they hold, and those of their prompts still to be read.
+    /// Generations of this host: their number, the tokens they hold, and their prompt tokens that are not read yet.
     u32 own_generations { 0 };
     i64 own_tokens { 0 };
     i64 own_unread_tokens { 0 };
-    /// The same of all other hosts, by their own word.
+    /// The same for all other hosts, as they report it.
     u32 peer_generations { 0 };
     i64 peer_tokens { 0 };
     i64 peer_unread_tokens { 0 };
-    /// The part of it that hosts of this host's own failure domain have: what its speaker tells other domains.
+    /// The share of that work that belongs to hosts of this host's failure domain. The representative of the domain
+    /// announces it to other domains.
     EngineWork domain_peer_work;
-    /// Tokens of generations that have to leave this engine and are not copied yet: what its link still has to carry.
+    /// Tokens of generations that must leave this engine and are not copied yet, which its link still has to send.
     i64 own_uncopied_tokens { 0 };
     i64 peer_uncopied_tokens { 0 };
-    /// Tokens of generations whose first copy is on its way here: what its link still has to take in.
+    /// Tokens of generations whose first copy is in transit to this engine, which its link still has to receive.
     i64 own_incoming_tokens { 0 };
     i64 peer_incoming_tokens { 0 };
-    /// Memory set aside here for copies that are on their way.
+    /// Memory reserved at this engine for copies in transit.
     i64 expected_copy_tokens { 0 };
     std::optional<EngineReport> report;
     Instant report_received_at {};
