--- a/Libraries/LibServing/AllowanceShare.h
+++ b/Libraries/LibServing/AllowanceShare.h
@@ -11,7 +11,7 @@
 
 namespace Serving {
 
-/// Tells the budget how many hosts share the allowance, by what this host knows of the others.
+/// Updates the number of hosts that share the allowance in the budget from the set of hosts known here.
 inline void share_allowance(RetryBudget& budget, Reach const& reach, Instant now)
 {
     budget.set_sharing_hosts(reach.fleet_size(now), now);
--- a/Libraries/LibServing/PlacementRate.h
+++ b/Libraries/LibServing/PlacementRate.h
@@ -11,8 +11,9 @@
 
 namespace Serving {
 
-/// How fast this host places generations, and what that says of what others of its domain place unseen by it: callers
-/// are spread over the hosts of a domain, so that they place about as fast.
+/// Tracks the rate at which this host places generations, and estimates from it the placements of the other hosts of
+/// its domain that this host does not know of yet. Callers are spread over the hosts of a domain, so these place at
+/// about the same rate.
 class PlacementRate {
 public:
     void record(Instant now)
@@ -21,14 +22,15 @@
         this->updated_at = now;
     }
 
-    /// Placements of `deciders` hosts like this one in `age`.
+    /// Estimated number of placements that `deciders` hosts with the same rate make in `age`.
     [[nodiscard]] double unseen(Instant now, size_t deciders, Duration age) const
     {
         return this->current(now) * static_cast<double>(deciders) * AK::to_seconds(age);
     }
 
 private:
-    /// A host places one generation in one to three seconds on the deployments known so far; the mean of some of them.
+    /// Averages over several placements: a host places one generation every one to three seconds in the deployments
+    /// known so far.
     static constexpr Duration time_constant = 10s;
 
     [[nodiscard]] double current(Instant now) const
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -9,12 +9,13 @@
 
 namespace Serving {
 
-/// A datagram that is lost comes again with the next whole messages: three of the slowest.
+/// If a datagram is lost, the limit is announced again with the next full state messages. The value covers three of
+/// them at the slowest rate.
 static constexpr Duration reannounced_for = 3s;
-/// 40 bytes each.
+/// Each takes 40 bytes.
 static constexpr size_t max_limits_per_message = 16;
-/// A server that names another limit with each answer costs the hosts no more messages than these; whole ones tell the
-/// rest.
+/// If a server advertises another limit with each response, the hosts exchange no more messages about it than one per
+/// interval. Full state messages carry the remaining changes.
 static constexpr Duration min_announcement_interval = 250ms;
 
 static void log_limit(ServingContext& context, Backend const& backend)
--- a/Libraries/LibServing/RateLimit.h
+++ b/Libraries/LibServing/RateLimit.h
@@ -11,24 +11,25 @@
 
 namespace Serving {
 
-/// An answer of `backend` names the requests that it takes from all hosts together, or does not any more. The other
-/// hosts are told.
+/// Records the rate limit for the requests of all hosts together that a response of `backend` advertises, or that it
+/// advertises none any more. A change is announced to the other hosts.
 void record_rate_limit(ServingContext&, Backend& backend, std::optional<RequestRate> limit);
 
-/// Takes in what backend servers have named to other hosts; of two words of one server the later one holds.
+/// Applies the rate limits that backend servers have advertised to other hosts. Of two reports about one server the
+/// later one applies.
 void apply_rate_limits(ServingContext&, wire::HostUse const&);
 
-/// Adds to a message what `backend` has named last.
+/// Adds the last advertised rate limit of `backend` to a message.
 void put_rate_limit(wire::HostUse&, ServingContext const&, Backend const& backend);
 
 enum class LimitScope : u8 {
-    /// What servers have named to this host.
+    /// Limits that servers have advertised to this host.
     Own,
-    /// What is known of any, for those that this host speaks to for others.
+    /// All known limits, for hosts to which this host forwards the state of others.
     All,
 };
 
-/// Adds to a whole message what backend servers have named lately.
+/// Adds the recently advertised rate limits to a full state message.
 void put_recent_rate_limits(wire::HostUse&, ServingContext const&, LimitScope);
 
 }
--- a/Libraries/LibServing/RecentCount.h
+++ b/Libraries/LibServing/RecentCount.h
@@ -11,16 +11,17 @@
 
 namespace Serving {
 
-/// How often something happened lately, counted by buckets of time so that a flood takes no more memory than a trickle:
-/// 16 bytes for each bucket in which it happened at all, and none before that.
+/// Counts recent events in buckets of time, so that a flood of events takes no more memory than a few: 16 bytes per
+/// bucket that contains an event, and nothing before the first event.
 class RecentCount {
 public:
-    /// A fortieth of the usual window of ten seconds.
+    /// One fortieth of the default window of ten seconds.
     static constexpr Duration bucket_length = 250ms;
 
-    /// It has happened now. `kept`: the longest span that will be asked for.
+    /// Records an event at `now`. `kept` is the longest span that will be queried.
     void add(Instant now, Duration kept);
-    /// Not less than happened in the span before `now`: a bucket that lies partly within it counts wholly.
+    /// Returns an upper bound for the number of events in `span` before `now`: a bucket that lies partly within the
+    /// span counts as a whole.
     [[nodiscard]] u32 upper_bound_within(Duration span, Instant now) const;
 
 private:
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -9,11 +9,11 @@
 
 namespace Serving {
 
-/// How long a backend server is avoided after one refusal; doubles with each that follows. One that is full for a
-/// moment has room again within some requests' time.
+/// Avoidance after the first rejection; doubles with each further one. A backend server that is full only briefly has
+/// capacity again within the time of a few requests.
 static constexpr Duration first_avoidance = 250ms;
-/// One that refuses on is tried once in this time by one of all hosts: a try costs its request a further dispatch, and
-/// a backend server that takes work again waits for it.
+/// A backend server that keeps rejecting is tried once per this time by one of all hosts. Each attempt costs its
+/// request a further dispatch, but a backend server that accepts work again has to wait for the next attempt.
 static constexpr Duration max_avoidance = 4s;
 
 static Duration avoidance_after(u32 refusals)
@@ -35,7 +35,8 @@
 void record_refusal(ServingContext& context, Backend& backend, std::string const& request, std::string_view reason)
 {
     auto& health = backend.health;
-    // Where all are avoided they are tried all the same; that is no news, and the time of the next try stays.
+    // If all backend servers are avoided, they are tried anyway. A rejection during the avoidance is then expected, and
+    // does not postpone the next attempt.
     if (context.now() < health.refused_until)
         return;
     ++health.refusals_in_a_row;
--- a/Libraries/LibServing/Refusal.h
+++ b/Libraries/LibServing/Refusal.h
@@ -11,13 +11,13 @@
 
 namespace Serving {
 
-/// `backend` has answered `request` that it did not run it. It runs little, so that it looks emptier than all others
-/// and would draw every host: it is avoided for a while, longer with each refusal that follows another, and the other
-/// hosts are told. The word of one is believed, since it is the backend server's own. Where all are avoided they are
-/// chosen as before.
+/// Records that `backend` rejected `request` without running it. A backend server that rejects requests runs few, so it
+/// looks less loaded than all others and would attract every host. It is therefore avoided for a while, longer with
+/// each further rejection, and the other hosts are notified. The report of a single host is enough, since it repeats
+/// what the backend server itself said. If all backend servers are avoided, they are chosen as usual.
 void record_refusal(ServingContext&, Backend&, std::string const& request, std::string_view reason);
 
-/// Takes in which backend servers have refused requests of another host.
+/// Applies the rejections by backend servers that another host announces.
 void apply_refusals(ServingContext&, wire::HostUse const&);
 
 }
--- a/Libraries/LibServing/RetryBudget.cpp
+++ b/Libraries/LibServing/RetryBudget.cpp
@@ -10,11 +10,11 @@
 
 namespace Serving {
 
-/// From the decision to repeat until the backend server has the request: a new connection's first packet that is lost
-/// is sent again after a second.
+/// Maximum time from the decision to repeat until the backend server receives the request. If the first packet of a new
+/// connection is lost, it is retransmitted after a second.
 static constexpr Duration max_delivery_time = 1s;
-/// One repeat, which five requests earn at the usual ratio. A host that has just started may be the only one that saves
-/// it, or one of many: it is within the part of each as long as the allowance has a repeat for every host.
+/// One repeat, which five requests earn at the default ratio. A host that has just started does not know how many hosts
+/// save one as well. One repeat is within the share of each host as long as the allowance has a repeat for every host.
 static constexpr double max_saved_without_share = 1;
 
 void RetryBudget::set_limits(Limits changed)
@@ -40,8 +40,8 @@
         return { 0, max_saved_without_share, 0 };
     auto const hosts = std::max({ 1U, this->limits.hosts, *this->sharing_hosts });
     auto const share = this->limits.allowance / hosts;
-    // What can be saved is the fraction that makes no whole repeat, and one more: less could never be spent. So a part
-    // of less than one repeat is none.
+    // The saved amount is the fractional part of the share plus one repeat, since less than one repeat could never be
+    // spent. A share of less than one repeat is therefore worth nothing.
     auto const whole = std::max(1.0, std::floor(share));
     return { hosts, std::min(share, share - whole + 1), static_cast<u32>(whole) - 1 };
 }
@@ -62,7 +62,7 @@
     auto const left = std::floor(account.earned) + of_allowance;
     if (left < 1)
         return { false, left, share.hosts };
-    // Requests go on earning, so what they have earned goes first.
+    // Earned repeats are spent first, since further requests replenish them.
     if (account.earned >= 1)
         account.earned -= 1;
     else
--- a/Libraries/LibServing/RetryBudget.h
+++ b/Libraries/LibServing/RetryBudget.h
@@ -12,32 +12,32 @@
 
 namespace Serving {
 
-/// What all hosts together may send to a service beyond the first dispatch of each request in any window, and this
-/// host's part of it: a share of the requests that it takes, and its part of a fixed allowance. Every host keeps to its
-/// own part, so the sum holds without talk about single repeats.
+/// Bounds the repeated dispatches of all hosts to a service in any window, and holds this host's share of that bound: a
+/// ratio of the requests that it receives, plus its share of a fixed allowance. Every host stays within its own share,
+/// so the total bound holds without any coordination per repeat.
 ///
-/// The sum holds in any window, whatever hosts have done before it: what a host's requests have earned it may save up
-/// to a little more than one repeat, which is taken off its part of the allowance, and the rest of that part is spent
-/// once in a window by a record of the window itself. A host that starts has saved nothing and has no part yet, so it
-/// cannot repeat a second time what its former process did.
+/// The bound holds in any window, whatever the hosts did before it. A host may save only a little more than one repeat
+/// of what its requests have earned, and this amount is deducted from its share of the allowance. The rest of the share
+/// can be spent once per window, which is enforced by a record of the window itself. A host that has just started has
+/// nothing saved and no share yet, so it cannot repeat again what its previous process repeated.
 class RetryBudget {
 public:
     struct Limits {
-        /// Further dispatches for each request.
+        /// Further dispatches that each request earns.
         double ratio { 0.2 };
-        /// Further dispatches in a window on top, for all hosts together.
+        /// Additional further dispatches per window, for all hosts together.
         double allowance { 50 };
         Duration window { 10s };
-        /// Hosts that share the allowance, at least.
+        /// Minimum number of hosts among which the allowance is divided.
         u32 hosts { 8 };
     };
 
-    /// What was decided, with what decided it.
+    /// A decision and the figures that led to it.
     struct Decision {
         bool is_granted { false };
-        /// Further dispatches that this host may still make now.
+        /// Further dispatches that this host may still make at this time.
         double left { 0 };
-        /// Hosts among which the allowance is divided; 0 while this host has no part of it.
+        /// Number of hosts among which the allowance is divided, or 0 while this host has no share.
         u32 hosts { 0 };
     };
 
@@ -46,33 +46,34 @@
     {
     }
 
-    /// Takes effect with the next request. A window of another length begins without a part of the allowance, as after
-    /// a start.
+    /// Takes effect with the next request. After a change of the window length the host has no share of the allowance
+    /// at first, as after a start.
     void set_limits(Limits);
-    /// How many hosts share the allowance, as far as it is known `now`. A host that does not know has no part of it,
-    /// and gets one only a window after it came to know: what its former process spent, and what others take for their
-    /// part until they have heard of it, has left the window then.
+    /// Sets the number of hosts that share the allowance, as known at `now`. A host that does not know the number has
+    /// no share. It gets one only a window after it learned the number: by then the repeats of its previous process,
+    /// and those that other hosts made by their larger former shares, have left the window.
     void set_sharing_hosts(std::optional<u32> hosts, Instant now);
-    /// A request has come; it earns its share of a further dispatch.
+    /// Records a request, which earns its fraction of a further dispatch.
     void record_request(ServiceName const&, Instant now);
     /// Takes one further dispatch out of the budget, if there is one.
     [[nodiscard]] Decision take(ServiceName const&, Instant now);
 
 private:
     struct Account {
-        /// By requests, and not used yet.
+        /// Earned by requests and not spent yet.
         double earned { 0 };
         RecentCount spent_allowance;
     };
-    /// This host's part of the allowance.
+    /// This host's share of the allowance.
     struct Share {
-        /// 0: it has none yet.
+        /// 0 while the host has no share.
         u32 hosts { 0 };
         double max_saved { 0 };
         u32 in_window { 0 };
     };
     [[nodiscard]] Share share_at(Instant now) const;
-    /// A repeat counts for longer than a window, since it may reach its backend server later than it was granted.
+    /// How long a repeat counts as spent. This is longer than a window, since a repeat may reach its backend server
+    /// later than it was granted.
     [[nodiscard]] Duration accounting_window() const;
 
     Limits limits;
--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -10,16 +10,18 @@
 
 namespace Serving {
 
-/// Requests may arrive closer together than they were sent: the time that a connection may take to come up is part of
-/// the span in which they count.
+/// Requests may arrive closer together than they were sent. The time that a connection may take to be established is
+/// therefore added to the window in which they count.
 static constexpr Duration max_delivery_delay = 400ms;
-/// In which a cold server bears as many as are configured.
+/// The window in which a cold server can handle the configured number of requests.
 static constexpr Duration cold_start_window = 1s;
-/// Hosts that join have no part in the first span, so half of the shortest is soon enough.
+/// A host that joins has no share during its first window, so refreshing after half of the shortest window is soon
+/// enough.
 static constexpr Duration share_lifetime = 500ms;
 
-/// A server that gets nothing cannot say that it is well again. After so long without a word it is tried as any other,
-/// by one host before the others.
+/// A server that receives no requests cannot withdraw its limit. If the limit is not renewed for this long, it expires,
+/// and the server receives requests like any other. The lifetime differs between hosts, so that one host tries the
+/// server before the others.
 static constexpr Duration min_limit_lifetime = 20s;
 static constexpr Duration max_limit_lifetime = 30s;
 
@@ -33,7 +35,7 @@
 u32 ServerLimits::requests_in_window(RequestRate limit)
 {
     constexpr double max_requests = 1e9;
-    // One at least: it finds out what the limit is then.
+    // At least one request, which reveals the current limit.
     return static_cast<u32>(std::clamp(limit.value() * AK::to_seconds(rate_limit_window), 1.0, max_requests));
 }
 
@@ -72,7 +74,7 @@
 {
     if (!bound)
         return true;
-    // What this host's former process sent counts as well, and it has left the span by then.
+    // The requests of this host's previous process count as well. They have left the window by then.
     if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->window)
         return false;
     return backend.sent.upper_bound_within(bound->window, now) < this->own_share(backend, *bound, now);
@@ -86,7 +88,7 @@
 
 void ServerLimits::record_sent(Backend& backend, Instant now)
 {
-    // Always, since what was sent before a limit was heard of counts as well.
+    // Recorded even without a limit, since requests sent before the limit became known count as well.
     backend.sent.add(now, rate_limit_window + max_delivery_delay);
 }
 
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -13,10 +13,10 @@
 
 namespace Serving {
 
-/// Bounds what all hosts together send to a backend server that bears less than it is asked for. Each host keeps to a
-/// part of its own, so the sum holds without talk about single requests, also for hosts that are cut off from the
-/// others. A division by the number of hosts would give none of them a whole request; so the requests of a span are
-/// dealt out by hash, for each start of a server to other hosts.
+/// Enforces a bound on the requests that all hosts together send to a backend server of limited capacity. Each host
+/// stays within its own share, so the total bound holds without coordination per request, even for hosts that are
+/// partitioned from the others. Dividing the bound by the number of hosts could leave less than one request for each.
+/// The requests of a window are therefore distributed by hash, over different hosts for each start of a server.
 class ServerLimits {
 public:
     ServerLimits(Reach const& reach, Address own_address)
@@ -26,31 +26,32 @@
     {
     }
 
-    /// How many requests of all hosts a server that names a limit gets in any `rate_limit_window`.
+    /// Requests that all hosts together may send to a server with this rate limit in any `rate_limit_window`.
     [[nodiscard]] static u32 requests_in_window(RequestRate);
 
-    /// The configuration that is in force from now on.
+    /// Sets the configuration that applies from now on.
     void configure(std::shared_ptr<RoutingTable const> routing) { this->routing = std::move(routing); }
 
-    /// In which a server gets as many as it has named a limit for.
+    /// The window in which the requests under a server's rate limit are counted.
     static constexpr Duration rate_limit_window = 4s;
 
-    /// Whether one more request may be sent there now.
+    /// Whether one more request may be sent to the backend server now.
     [[nodiscard]] bool may_send(Backend const&, Instant now) const;
-    /// A request is being sent there.
+    /// Records that a request is sent to the backend server.
     static void record_sent(Backend&, Instant now);
 
 private:
-    /// What a backend server bears, and why.
+    /// Why the requests to a backend server are bounded.
     enum class BoundReason : u8 {
-        /// It is cold, and the operator has configured what servers of the service bear then: beyond that it collapses.
+        /// The server has started recently, and the operator has configured how many requests servers of the service
+        /// sustain while cold. A cold server collapses under more.
         ColdStart,
-        /// It has named a limit.
+        /// The server has advertised a rate limit.
         RateLimit,
     };
     struct Bound {
         BoundReason reason;
-        /// Requests of all hosts in any span of this length.
+        /// Requests of all hosts in any window of this length.
         u32 requests;
         Duration window;
     };
@@ -70,7 +71,8 @@
         u32 units { 0 };
         Instant computed_at {};
     };
-    /// By server and start. A walk over all hosts for each such server, for numbers that change when hosts come and go.
+    /// Cached by server and start. Computing a share walks over all hosts, and the result changes only when hosts join
+    /// or leave.
     mutable std::map<std::tuple<EngineId, ServerStart, BoundReason>, Share> shares;
 };
 
--- a/Libraries/LibServing/Suspicion.cpp
+++ b/Libraries/LibServing/Suspicion.cpp
@@ -9,7 +9,8 @@
 
 namespace Serving {
 
-/// Another host's word holds no longer than a host's own avoidance may last, whatever it says.
+/// Upper bound for an avoidance announced by another host, equal to the longest avoidance that a host decides by
+/// itself.
 static constexpr Duration max_announced_avoidance = 2s;
 
 void suspect(ServingContext& context, Backend& backend, Failure const& failure)
--- a/Libraries/LibServing/Suspicion.h
+++ b/Libraries/LibServing/Suspicion.h
@@ -11,20 +11,21 @@
 
 namespace Serving {
 
-/// What made a host suspect a backend server.
+/// The failure that made a host suspect a backend server.
 struct Failure {
-    /// No connection could be made, which says more than one failed answer.
+    /// No connection could be made, which is stronger evidence than one failed response.
     bool is_unreachable { false };
-    /// The caller's attempt that met it; empty for a question of the host's own.
+    /// The id of the caller's attempt that failed; empty for a query of the host itself.
     std::string request;
     std::string reason;
 };
 
-/// A request has failed by the fault of `backend`. It may be avoided for a while; then the log says so, and if it is
-/// unreachable the other hosts are told.
+/// Records a request that failed through the fault of `backend`. If the backend server is avoided from now on, logs an
+/// event, and announces it to the other hosts if it is unreachable.
 void suspect(ServingContext&, Backend& backend, Failure const&);
 
-/// Takes in which backend servers `host` could not connect to. Those that several hosts say so of are avoided here too.
+/// Applies the list of backend servers that `host` could not connect to. A backend server that several hosts report is
+/// avoided here too.
 void apply_suspicions(ServingContext&, MemberId const& host, wire::HostUse const&);
 
 }
