--- a/Libraries/LibServing/Evacuations.h
+++ b/Libraries/LibServing/Evacuations.h
@@ -11,18 +11,18 @@
 
 namespace Serving {
 
-/// The operator's order that a failure domain gets nothing: which version of the platform's table gave it, or took it
-/// back.
+/// The latest known order of the operator for a failure domain: whether its evacuation is in force, and the version of
+/// the platform's table that issued or revoked it.
 struct EvacuationOrder {
     u64 version { 0 };
     bool is_in_force { false };
     Instant received_at {};
 };
 
-/// What this host believes of the operator's orders to empty failure domains. Words come from the platform's table,
-/// read by this host or passed on by others, and may be old when they come: of each domain the word of the highest
-/// version holds, in whatever order they arrive. The table of backend servers is kept in step, so that whoever chooses
-/// one asks `Backend::takes_work` and nothing else.
+/// The operator's orders to evacuate failure domains, as known by this host. An order comes from the platform's table,
+/// which this host reads itself or receives from other hosts, and may be outdated when it arrives. For each domain the
+/// order with the highest version applies, in whatever sequence they arrive. The table of backend servers is kept
+/// consistent with the orders, so code that chooses a backend server only needs `Backend::takes_work`.
 class Evacuations {
 public:
     explicit Evacuations(ServingContext& context)
@@ -30,11 +30,11 @@
     {
     }
 
-    /// All orders that the table held at `version`; those that it did not hold are taken back.
+    /// Applies a full list of the orders in the table at `version`. Orders that it does not contain are revoked.
     void apply_list(std::map<FailureDomainId, u64> const& orders, u64 version);
-    /// A row of that version has given the order.
+    /// Applies a row of this version that issues the order.
     void apply_order(FailureDomainId const&, u64 version);
-    /// The row has gone with that version.
+    /// Applies the removal of the row at this version, which revokes the order.
     void apply_revocation(FailureDomainId const&, u64 version);
 
     [[nodiscard]] bool is_evacuated(FailureDomainId const& domain) const;
@@ -43,9 +43,9 @@
     void apply(FailureDomainId const&, EvacuationOrder);
 
     ServingContext& context;
-    /// Of the newest list: what it does not hold was not in force then.
+    /// Version of the newest full list. An order that it did not contain was not in force at that version.
     u64 listed_version { 0 };
-    /// Of every domain that was ever named; a region has a few.
+    /// The latest order for every domain that ever had one. A region has only a few domains.
     std::map<FailureDomainId, EvacuationOrder> latest_orders;
 };
 
--- a/Libraries/LibServing/ProcessCheck.h
+++ b/Libraries/LibServing/ProcessCheck.h
@@ -14,20 +14,21 @@
 
 namespace Serving {
 
-/// What a connection to a backend server's address tells of its process.
+/// What a connection attempt to a backend server's address shows about its process.
 enum class ProcessState : u8 {
-    /// Nothing listens there any more.
+    /// The connection was refused: nothing listens at the address any more.
     Terminated,
-    /// Something accepts connections.
+    /// A process accepts connections.
     Listening,
-    /// No answer: it may be cut off.
+    /// There was no response. The server may be partitioned.
     Unknown,
 };
 
 std::string_view to_string(ProcessState);
 
-/// Finds out, once a connection has broken off, whether the backend server's process has ended or that connection only.
-/// Of all the requests that one backend server breaks off at once the first one asks, and all are told.
+/// Determines after a broken connection whether the backend server's process has terminated or only the connection has.
+/// If several requests to a backend server break off at once, the first one starts a check, and its result is passed to
+/// all of them.
 class ProcessCheck {
 public:
     using OnState = std::function<void(ProcessState)>;
@@ -37,11 +38,11 @@
     {
     }
 
-    /// Calls back once, not before this returns.
+    /// Calls back exactly once, never before this returns.
     void query(Backend const&, OnState);
 
 private:
-    /// A host that lives answers within its round trip, a lossy link may take a second packet.
+    /// A running host responds within one round trip. A lossy link may need a second packet.
     static constexpr Duration timeout = 400ms;
 
     void connect(Http::tcp::endpoint const&);
--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -111,7 +111,7 @@
         [&](auto const& item) { return item.second.held_until && item.second.terminated_under.contains(process); });
 }
 
-/// What ran beside the request that is held back did not end these processes.
+/// Attributes the terminations to the quarantined request, which clears the requests that ran beside it of them.
 void Quarantine::attribute_to(RequestFingerprint const& held)
 {
     auto const attributed = this->entries.at(held).terminated_under;
@@ -137,7 +137,7 @@
         this->evict_oldest({});
 }
 
-/// Those that are only suspected go first.
+/// Evicts entries that are only suspected before quarantined ones.
 void Quarantine::evict_oldest(std::optional<OrganisationId> const& of)
 {
     auto oldest = this->entries.end();
--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -23,21 +23,24 @@
     auto operator<=>(ServerProcess const&) const = default;
 };
 
-/// Requests under which backend servers have ended, and those that are held back because several have: whoever sends
-/// one again would end a further server, with all that runs there. A request that has run to its end is innocent. So is
-/// one that merely ran beside the request that is held back for the same end.
+/// Tracks the requests during which backend servers terminated, and quarantines a request once several servers have:
+/// sending it again would terminate another server, with everything that runs there. A request is cleared once it has
+/// run to completion. A request that merely ran beside the quarantined one is cleared of the same terminations.
 ///
-/// What hosts know is put together as sets of processes, so words that come twice, late or in any order do no harm.
+/// The state of several hosts is merged as sets of processes, so reports may be repeated, late or in any order.
 class Quarantine {
 public:
-    /// A server may end at any time, and of all requests that ran there one is guilty at most.
+    /// A server may terminate for other reasons at any time, and at most one of the requests that ran there is the
+    /// cause. Several terminations are therefore required.
     static constexpr size_t terminations_until_quarantine = 3;
-    /// From its last end on. A request that is held back cannot show that it has become harmless, so it may try again.
+    /// How long a request is quarantined, and how long a suspected one is remembered, from its last termination on. A
+    /// quarantined request cannot run, so it cannot show that it has become harmless. It is therefore allowed again
+    /// after this time.
     static constexpr Duration retention_time = 1h;
 
     struct Entry {
         std::set<ServerProcess> terminated_under;
-        /// Nothing while it is not held back.
+        /// Empty while the request is not quarantined.
         std::optional<Instant> held_until;
         Instant changed_at {};
     };
@@ -45,36 +48,37 @@
 
     enum class Change : u8 {
         Nothing,
-        /// More is known of a request that is not held back.
+        /// There is new evidence against a request that is not quarantined.
         Suspected,
-        /// It is held back from now on.
+        /// The request is quarantined from now on.
         Held,
     };
 
-    /// This host has seen `process` end under the request, and did not expect it.
+    /// Records that `process` terminated unexpectedly while it ran the request, as seen by this host.
     Change record_termination(RequestFingerprint const&, ServerProcess const& process, Instant now);
-    /// Another host knows that these processes have ended under the request, and holds it back for so long.
+    /// Merges the state of another host: these processes terminated while they ran the request, which is quarantined
+    /// for another `held_for`, or not quarantined if that is zero.
     Change merge(RequestFingerprint const&, std::set<ServerProcess> const& terminated, Duration held_for, Instant now);
-    /// The request has run to its end somewhere. Answers whether it was suspected or held back.
+    /// Clears a request that has run to completion on any host. Returns whether it was suspected or quarantined.
     bool clear(RequestFingerprint const&, Instant now);
-    /// For how much longer the request is held back; nothing if it is not.
+    /// Returns the remaining time of the quarantine, or nothing if the request is not quarantined.
     [[nodiscard]] std::optional<Duration> held_for(RequestFingerprint const&, Instant now) const;
-    /// Lets go of what is remembered no longer. Answers what was held back.
+    /// Removes expired entries. Returns the requests among them that were quarantined.
     std::vector<RequestFingerprint> forget_expired(Instant now);
 
     [[nodiscard]] Entries const& all() const { return this->entries; }
-    /// Entries that were let go because their organisation, or all together, had too many.
+    /// Number of entries evicted because their organisation, or all organisations together, had too many.
     [[nodiscard]] u64 dropped() const { return this->evicted_total; }
 
 private:
-    /// One organisation's flood pushes out its own entries only.
+    /// A flood of requests of one organisation evicts only entries of that organisation.
     static constexpr size_t max_entries_per_organisation = 64;
-    /// Half a kilobyte each at most.
+    /// An entry takes half a kilobyte at most.
     static constexpr size_t max_entries = 2048;
-    /// A process that ended beside these tells nothing new of the request.
+    /// Further processes would add no evidence against the request.
     static constexpr size_t max_processes = 16;
-    /// A request that is sent by many callers at once is on several servers when they crash together; one of its runs
-    /// that has ended well lately shows that it is not the cause.
+    /// A request that many callers send at once runs on several servers when they crash together. A recent run that
+    /// completed shows that the request is not the cause.
     static constexpr Duration clearance_lifetime = 1min;
     static constexpr size_t max_cleared = 4096;
 
--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -11,8 +11,9 @@
 
 namespace Serving {
 
-/// Keeps requests that are held back in a table of the platform, for when no host is left that knows of them. One host
-/// writes each row. It is read only where no other host has said that it knows them: after all have started anew.
+/// Stores the quarantined requests in a table of the platform, so that they survive a restart of all hosts. A single
+/// host writes each row. A host reads the table only if no other host has reported that it knows the quarantine, which
+/// is the case after all hosts have restarted.
 template<typename Store>
 class QuarantineTable {
 public:
@@ -32,11 +33,11 @@
             = [this](RequestFingerprint const& request, bool is_held) { this->hold_changed(request, is_held); };
     }
 
-    /// To be called several times a second.
+    /// Must be called several times per second.
     void tick()
     {
         forget_expired_terminations(this->context);
-        // While the platform does not answer, others find out when it does again.
+        // While the platform is unavailable, other components detect when it responds again.
         bool const may_call = !this->is_calling && !this->context.reach.platform_lost_here();
         if (!may_call || this->context.now() < this->next_call_at)
             return;
@@ -49,9 +50,10 @@
 private:
     static constexpr Duration response_timeout = 2s;
     static constexpr Duration retry_delay = 1s;
-    /// By then a host that has just started has heard from those that were there before it.
+    /// A host that has just started has received the state of the running hosts by then.
     static constexpr Duration announcement_wait = 1s;
-    /// The first reader of a domain reads; a host that has not been told by then reads itself.
+    /// The primary reader of the domain reads the table. A host that has not received the state by then reads it
+    /// itself.
     static constexpr Duration primary_reader_wait = 1s;
 
     [[nodiscard]] bool needs_read() const
@@ -90,7 +92,7 @@
     void apply(Platform::Row const& row)
     {
         wire::QuarantineRow stored;
-        // One that cannot be read is of a version to come.
+        // A row that cannot be parsed was written by a newer version.
         if (!stored.ParseFromString(row.value))
             return;
         auto const left = std::chrono::milliseconds(stored.held_until_unix_milliseconds() - unix_milliseconds());
@@ -104,11 +106,11 @@
         ending.set_digest(stored.digest());
         ending.set_held_milliseconds(static_cast<u32>(left.count()));
         apply_request_terminations(this->context, message);
-        // It is there already.
+        // The row is stored already.
         this->pending_writes.erase(row.key);
     }
 
-    /// Hosts that hear the same others agree on who writes.
+    /// Hosts that can reach the same other hosts agree on which of them writes.
     void hold_changed(RequestFingerprint const& request, bool is_held)
     {
         auto const key = to_text(request);
@@ -133,7 +135,7 @@
             this->is_calling = false;
             if (!done)
                 return this->schedule_retry();
-            // It may have changed meanwhile.
+            // The value may have changed in the meantime.
             auto found = this->pending_writes.find(key);
             if (found != this->pending_writes.end() && found->second == value)
                 this->pending_writes.erase(found);
@@ -152,7 +154,7 @@
     Instant started_at {};
     Instant next_call_at {};
     bool is_calling { false };
-    /// What the platform is to hold, by key; nothing for rows that are to go.
+    /// Values to be written to the platform, by key; empty for rows to be removed.
     std::map<std::string, std::optional<std::string>> pending_writes;
 };
 
--- a/Libraries/LibServing/RequestFingerprint.h
+++ b/Libraries/LibServing/RequestFingerprint.h
@@ -11,11 +11,12 @@
 
 namespace Serving {
 
-/// What a caller sends again unchanged, by whichever host and under whichever attempt: organisation, method, host, path
-/// and body. Requests of two organisations never have the same one, whatever their contents.
+/// Identifies a request across retries, through any host and under any attempt, by what its caller resends unchanged:
+/// organisation, method, host, path and body. Requests of two organisations never have equal fingerprints, whatever
+/// their contents.
 struct RequestFingerprint {
     OrganisationId organisation;
-    /// Of all the rest.
+    /// Hash of the organisation, method, host, path and body.
     u64 digest { 0 };
 
     auto operator<=>(RequestFingerprint const&) const = default;
@@ -23,7 +24,7 @@
 
 RequestFingerprint fingerprint_of(Http::Request const&, OrganisationId const&);
 
-/// The digest in hexadecimal, for logs and keys.
+/// Returns the digest in hexadecimal, for logs and keys.
 std::string to_text(RequestFingerprint const&);
 
 }
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -8,11 +8,12 @@
 
 namespace Serving {
 
-/// A datagram that is lost comes again with the next whole messages: three of the slowest.
+/// If a datagram is lost, the entry is announced again with the next full state messages. The value covers three of
+/// them at the slowest rate.
 static constexpr Duration reannounced_for = 3s;
-/// Of those that are held back, in one whole message: 30 bytes each.
+/// Quarantined requests per full state message, at 30 bytes each.
 static constexpr size_t max_quarantined_per_message = 8;
-/// For a host that has just started: 7 KB.
+/// Requests in the message to a host that has just started, 7 KB in total.
 static constexpr size_t max_requests_at_start = 64;
 
 static void apply(ServingContext& context, RequestFingerprint const& request, Quarantine::Change change)
@@ -54,14 +55,14 @@
     context.quarantine_changed(request);
     if (!was_held)
         return;
-    log_release(context, request, "a run of it has ended well");
+    log_release(context, request, "a run of the request completed");
     context.hold_changed(request, false);
 }
 
 void forget_expired_terminations(ServingContext& context)
 {
     for (auto const& request : context.quarantine.forget_expired(context.now())) {
-        log_release(context, request, "its time is over");
+        log_release(context, request, "the quarantine expired");
         context.hold_changed(request, false);
     }
 }
@@ -82,7 +83,7 @@
         if (entry.is_cleared()) {
             bool const was_held = context.quarantine.held_for(request, now).has_value();
             if (context.quarantine.clear(request, now) && was_held)
-                log_release(context, request, "a run of it has ended well elsewhere");
+                log_release(context, request, "a run of the request completed at another host");
             continue;
         }
         auto const held_for = std::chrono::milliseconds(entry.held_milliseconds());
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -11,26 +11,26 @@
 
 namespace Serving {
 
-/// The process of `backend` has ended, unannounced, while the request was there. The other hosts are told.
+/// Records that the process of `backend` terminated unannounced while it ran the request, and notifies the other hosts.
 void record_termination_under(ServingContext&, RequestFingerprint const&, Backend const& backend);
 
-/// A run of the request has ended, and the backend server lives.
+/// Records that a run of the request has ended and that the backend server is still running.
 void record_run_survived(ServingContext&, RequestFingerprint const&);
 
-/// Lets go of what is remembered no longer.
+/// Removes expired entries.
 void forget_expired_terminations(ServingContext&);
 
-/// Takes in what another host knows of requests under which servers end.
+/// Applies what another host reports about requests during which servers terminated.
 void apply_request_terminations(ServingContext&, wire::HostUse const&);
 
-/// Adds to a message what is known of one request; that it is cleared, where nothing is.
+/// Adds the known state of one request to a message, or that it is cleared if there is none.
 void put_request_termination(wire::HostUse&, ServingContext const&, RequestFingerprint const&);
 
-/// Adds to a whole message what has changed lately, and in turn, by the number of the `round`, what is held back: so it
-/// also comes to those that have missed a word.
+/// Adds the recently changed entries to a full state message, and a subset of the other quarantined requests that
+/// rotates with `round`. The latter reach hosts that have missed an announcement.
 void put_recent_request_terminations(wire::HostUse&, ServingContext const&, u64 round);
 
-/// Adds all that is known, for a host that has just started.
+/// Adds all known entries, for a host that has just started.
 void put_all_request_terminations(wire::HostUse&, ServingContext const&);
 
 }
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -9,7 +9,7 @@
 
 namespace Serving {
 
-/// Words that move the end by less are not worth a line in the log each.
+/// Smaller extensions of a back-off are not logged individually.
 static constexpr Duration min_logged_extension = 100ms;
 
 static void back_off(ServingContext& context, Backend& backend, Duration requested)
@@ -32,7 +32,7 @@
     context.log.event(Core::EventNumber::ServerAnnouncedLeaving, backend.server.id.value())
         .with("state", to_string(backend.availability))
         .with("own_generations", backend.engine.own_generations);
-    // Where the list has said so before, the other hosts know.
+    // If the platform's list already says that the server leaves, the other hosts know it as well.
     if (backend.availability == Availability::Serving)
         context.backend_leaves(backend);
     backend.note_own_word_to_leave();
@@ -48,11 +48,11 @@
 
 void apply_server_notice(ServingContext& context, Backend& backend, AnswerHead const& answer)
 {
-    // Another process answers at its address.
+    // The response comes from another process at the same address.
     if (answer.is_misdirected)
         return;
     apply(context, backend, answer);
-    // Its entry may have lapsed since the request was sent, and have come back.
+    // The entry may have been removed and added again since the request was sent.
     auto const listed = context.backends.find(backend.server.id);
     if (!listed)
         return context.backends.keep_own_word(backend, context.now());
--- a/Libraries/LibServing/ServerNotice.h
+++ b/Libraries/LibServing/ServerNotice.h
@@ -11,8 +11,9 @@
 
 namespace Serving {
 
-/// Takes in what `backend` says in the head of an answer of what it wants from now on, whichever request of this host
-/// it answers: of two words that were on their way at once neither takes anything from the other.
+/// Applies the notices in the response head of `backend`: a requested back-off, or that the server is leaving. This
+/// does not depend on which request of this host the response belongs to. Of two notices in flight at the same time,
+/// neither cancels the other.
 void apply_server_notice(ServingContext&, Backend&, AnswerHead const&);
 
 }
