--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -170,7 +170,7 @@
     "Scenario: engines that leave together spread their generations over the links of those that stay" \
     Libraries/LibServing/BackendChooser.cpp "copy_wait_cost = 0.5" "copy_wait_cost = 0"
 guard "late beliefs spread the choice" TestLibServing \
-    "Scenario: 59 hosts that believe the same of other domains do not meet at one engine" \
+    "Scenario: 59 hosts with the same stale view of other domains do not choose the same engine" \
     Libraries/LibServing/BackendChooser.cpp "cost += this->unseen * share_of_unseen(this->random);" ";"
 guard "the allowance is shared by all known hosts" TestFleet \
     "Scenario: all hosts together repeat no more than the bound allows" \
@@ -248,10 +248,10 @@
     "Scenario: a generation is refused at once while no engine has room for it" \
     Libraries/LibServing/Admission.cpp "&& prefills_in_time(backend, demand)" ""
 guard "requests that end servers: each process counts once" TestLibServing \
-    "Scenario: a request is held back once three servers have ended under it" \
+    "Scenario: a request is quarantined after three servers terminated while running it" \
     Libraries/LibServing/Quarantine.cpp "if (!is_known && (was_held" "if ((was_held"
 guard "requests that end servers: what runs beside is innocent" TestLibServing \
-    "Scenario: requests that run beside a guilty one are not held back for it" \
+    "Scenario: requests that ran beside the cause of terminations are not quarantined" \
     Libraries/LibServing/Quarantine.cpp "this->attribute_to(request);" ""
 guard "requests that end servers: told at once" TestFleet \
     "Scenario: a request that ends what runs it reaches few servers more, however many hosts there are" \
@@ -272,7 +272,7 @@
     "Scenario: hosts of any number send a server no more than the limit that it names" \
     Libraries/LibServing/ServerLimits.cpp "< this->own_share(backend, *bound, now)" "< bound->requests"
 guard "named limits: the later word holds" TestLibServing \
-    "Scenario: a server's last word of its limit holds, by whichever host it comes" \
+    "Scenario: the last rate limit that a server advertised applies, whichever host received it" \
     Libraries/LibServing/RateLimit.cpp "if (backend->limit_heard_at && *backend->limit_heard_at >= received_at)" "if (false)"
 guard "named limits: callers are sent elsewhere" TestHosts \
     "Scenario: all hosts together send a server no more than the limit that it names" \
--- a/Tests/LibServing/TestAdmission.cpp
+++ b/Tests/LibServing/TestAdmission.cpp
@@ -15,7 +15,7 @@
 constexpr TokenCount memory(21'878);
 constexpr u32 slots = 24;
 
-/// Engines of a service as one host in hall-a believes them to be.
+/// The engines of a service as known by one host in hall-a.
 struct Pool {
     Backend& add(std::string const& id, std::string const& domain = "hall-a")
     {
@@ -49,7 +49,7 @@
     auto& engine = pool.add("a1");
     CHECK(pool.decide().engine->server.id == EngineId("a1"));
 
-    WHEN("its memory is taken but for less than the generation will need")
+    WHEN("its free memory is smaller than the generation will need")
     {
         engine.engine.own_tokens = memory.value() - 3399;
         auto const decision = pool.decide();
@@ -58,13 +58,13 @@
         CHECK(decision.with_capacity == 0);
         CHECK(decision.retry_after > 0s);
         THEN("a smaller one is admitted") { CHECK(pool.decide(2000, 20).verdict == AdmissionVerdict::Admit); }
-        THEN("it is admitted as soon as there is room")
+        THEN("it is admitted once there is enough free memory")
         {
             engine.engine.own_tokens -= 1;
             CHECK(pool.decide().verdict == AdmissionVerdict::Admit);
         }
     }
-    WHEN("so much is still to be read that its first event would come late")
+    WHEN("the backlog of unread prompts would delay its first event beyond the goal")
     {
         engine.engine.own_unread_tokens = 10'000;
         CHECK(pool.decide(3000, 400, 1800ms).verdict == AdmissionVerdict::NoCapacity);
@@ -77,7 +77,7 @@
     {
         engine.engine.own_unread_tokens = 3000;
         CHECK(pool.decide(3000, 400, 100ms).verdict == AdmissionVerdict::Admit);
-        THEN("it waits behind no more than itself")
+        THEN("the backlog ahead of it may be no larger than the prompt itself")
         {
             engine.engine.own_unread_tokens += 1;
             CHECK(pool.decide(3000, 400, 100ms).verdict == AdmissionVerdict::NoCapacity);
@@ -93,7 +93,7 @@
         pool.tried.emplace_back("a1");
         CHECK(pool.decide().verdict == AdmissionVerdict::NoCapacity);
     }
-    WHEN("its domain is emptied")
+    WHEN("its domain is evacuated")
     {
         pool.table.set_evacuated(FailureDomainId("hall-a"), true);
         auto const decision = pool.decide();
@@ -104,23 +104,23 @@
     {
         CHECK(pool.decide(memory.value() + 1).verdict == AdmissionVerdict::TooLarge);
     }
-    WHEN("the prompt fits, and what is expected of its output does not")
+    WHEN("the prompt fits, but the expected output does not")
     {
         CHECK(pool.decide(20'000, 5000, 10s).verdict == AdmissionVerdict::Admit);
     }
 }
 
-SCENARIO("an engine elsewhere, of which this host hears late, needs room for two more like the one generation")
+SCENARIO("an engine in another domain needs free memory for two more generations of the same size")
 {
     Pool pool;
-    auto& far = pool.add("b1", "hall-b");
-    far.engine.peer_tokens = memory.value() - 3 * 3400 + 1;
+    auto& remote = pool.add("b1", "hall-b");
+    remote.engine.peer_tokens = memory.value() - 3 * 3400 + 1;
     CHECK(pool.decide().verdict == AdmissionVerdict::NoCapacity);
-    far.engine.peer_tokens -= 1;
+    remote.engine.peer_tokens -= 1;
     CHECK(pool.decide().verdict == AdmissionVerdict::Admit);
 }
 
-SCENARIO("callers that are refused together do not return together")
+SCENARIO("callers rejected together are told to retry at different times")
 {
     Pool pool;
     pool.add("a1").engine.own_generations = slots;
@@ -160,7 +160,7 @@
         RC_ASSERT(engine.engine.generations() < slots);
         RC_ASSERT(engine.engine.tokens() + prompt <= memory.value());
     }));
-    CHECK(rc::check("an engine with nothing to do takes whatever fits", [] {
+    CHECK(rc::check("an idle engine admits any prompt that fits its memory", [] {
         Pool pool;
         auto const engines = *rc::gen::inRange(1, 12);
         for (int i = 0; i < engines; ++i)
--- a/Tests/LibServing/TestEvacuations.cpp
+++ b/Tests/LibServing/TestEvacuations.cpp
@@ -16,9 +16,9 @@
 FailureDomainId const hall_a("hall-a");
 FailureDomainId const hall_b("hall-b");
 
-/// A host's beliefs with one engine in each of two failure domains.
-struct Beliefs {
-    Beliefs()
+/// A host that knows one engine in each of two failure domains.
+struct EvacuatingHost {
+    EvacuatingHost()
         : log([](std::string_view text) { return text.size(); })
         , context(loop, settings, log)
         , evacuations(context)
@@ -65,11 +65,11 @@
 
 SCENARIO("nothing new is sent to a failure domain that the operator has emptied")
 {
-    Beliefs host;
-    WHEN("one domain is emptied")
+    EvacuatingHost host;
+    WHEN("one domain is evacuated")
     {
         host.evacuations.apply_order(hall_a, 7);
-        THEN("generations, copies and calls go to the other one, however full it is")
+        THEN("generations, copies and calls go to the other one, regardless of its load")
         {
             host.context.backends.find(EngineId("b1"))->engine.own_tokens = 50'000;
             host.context.backends.find(EngineId("b1"))->in_flight = 100;
@@ -81,27 +81,27 @@
             host.add("a2", hall_a);
             CHECK_FALSE(host.context.backends.find(EngineId("a2"))->takes_work());
         }
-        THEN("one that is listed elsewhere from now on gets work")
+        THEN("a backend server that moves to another domain gets work")
         {
             host.add("a1", hall_b);
             CHECK(host.context.backends.find(EngineId("a1"))->takes_work());
         }
-        AND_WHEN("the order is taken back")
+        AND_WHEN("the order is revoked")
         {
             host.evacuations.apply_revocation(hall_a, 9);
             CHECK(host.context.backends.find(EngineId("a1"))->takes_work());
-            THEN("an older word of it does not bring it back")
+            THEN("an order with an older version does not restore it")
             {
                 host.evacuations.apply_order(hall_a, 8);
                 CHECK_FALSE(host.evacuations.is_evacuated(hall_a));
             }
-            THEN("a newer one does")
+            THEN("an order with a newer version does")
             {
                 host.evacuations.apply_order(hall_a, 10);
                 CHECK(host.evacuations.is_evacuated(hall_a));
             }
         }
-        AND_WHEN("the other one is emptied too")
+        AND_WHEN("the other domain is evacuated too")
         {
             host.evacuations.apply_order(hall_b, 8);
             THEN("nothing is sent at all")
@@ -111,16 +111,16 @@
             }
         }
     }
-    WHEN("a list names orders")
+    WHEN("a full list of orders arrives")
     {
         host.evacuations.apply_order(hall_a, 7);
         host.evacuations.apply_list({ { hall_b, 9 } }, 12);
-        THEN("those that it does not name are taken back")
+        THEN("orders that it does not contain are revoked")
         {
             CHECK_FALSE(host.evacuations.is_evacuated(hall_a));
             CHECK(host.evacuations.is_evacuated(hall_b));
         }
-        THEN("a word from before the list that it does not know is over")
+        THEN("an older order for a domain that it does not contain is ignored")
         {
             host.evacuations.apply_order(FailureDomainId("hall-c"), 11);
             CHECK_FALSE(host.evacuations.is_evacuated(FailureDomainId("hall-c")));
@@ -131,17 +131,17 @@
             CHECK(host.evacuations.is_evacuated(hall_b));
         }
     }
-    WHEN("a list is older than what has been heard")
+    WHEN("a list is older than the last known order")
     {
         host.evacuations.apply_order(hall_a, 7);
         host.evacuations.apply_list({}, 5);
         CHECK(host.evacuations.is_evacuated(hall_a));
     }
-    WHEN("an order names a domain in which nobody is known")
+    WHEN("an order names a domain without known backend servers")
     {
         host.evacuations.apply_order(FailureDomainId("hall-z"), 7);
         CHECK(host.generation_goes_to() != "none");
-        THEN("it holds for those that come")
+        THEN("it applies to backend servers that are added later")
         {
             host.add("z1", FailureDomainId("hall-z"));
             CHECK_FALSE(host.context.backends.find(EngineId("z1"))->takes_work());
@@ -152,7 +152,7 @@
 SCENARIO("words of orders to empty domains in any order leave what the table says last")
 {
     CHECK(rc::check([] {
-        // The table's history: at each version one domain's order is given or taken back.
+        // The history of the table: each version issues or revokes the order for one domain.
         struct Change {
             FailureDomainId domain;
             bool is_order { false };
@@ -162,8 +162,8 @@
         for (int i = 0; i < length; ++i)
             history.push_back({ *rc::gen::arbitrary<bool>() ? hall_a : hall_b, *rc::gen::arbitrary<bool>() });
 
-        Beliefs host;
-        auto tell = [&](size_t version) {
+        EvacuatingHost host;
+        auto apply_row = [&](size_t version) {
             auto const& change = history[version - 1];
             if (change.is_order)
                 host.evacuations.apply_order(change.domain, version);
@@ -181,16 +181,16 @@
             }
             return orders;
         };
-        // Any words and lists, repeated and out of order; then all that the table has said, once, in any order.
-        auto const words = *rc::gen::container<std::vector<int>>(rc::gen::inRange(-length, length + 1));
-        for (auto word : words) {
-            if (word > 0)
-                tell(static_cast<size_t>(word));
-            else if (word < 0)
-                host.evacuations.apply_list(state_at(static_cast<size_t>(-word)), static_cast<u64>(-word));
+        // Applies any rows and lists, repeated and out of order, and then every row of the table once.
+        auto const updates = *rc::gen::container<std::vector<int>>(rc::gen::inRange(-length, length + 1));
+        for (auto update : updates) {
+            if (update > 0)
+                apply_row(static_cast<size_t>(update));
+            else if (update < 0)
+                host.evacuations.apply_list(state_at(static_cast<size_t>(-update)), static_cast<u64>(-update));
         }
         for (int i = 1; i <= length; ++i)
-            tell(static_cast<size_t>(i));
+            apply_row(static_cast<size_t>(i));
         auto const last = state_at(history.size());
         for (auto const& domain : { hall_a, hall_b }) {
             RC_ASSERT(host.evacuations.is_evacuated(domain) == last.contains(domain));
@@ -202,26 +202,29 @@
     }));
 }
 
-SCENARIO("a host beside an emptied domain is not ready while it reaches no other server of a service")
+SCENARIO("a host is not ready while its domain is evacuated and the other domains are unreachable")
 {
-    Beliefs host;
+    EvacuatingHost host;
     Configuration configuration;
     configuration.services.push_back({ ServiceName("models"), 64, {} });
     RoutingTable const routing(std::move(configuration));
     std::vector<FailureDomainId> const silent { hall_b };
     auto unreachable = host.context.backends.find(EngineId("b1"));
     unreachable->health.unreachable_at = host.now;
-    auto lost = [&] { return services_out_of_reach(host.context.backends, routing, silent, host.now); };
-    CHECK(lost().empty());
-    WHEN("its own domain is emptied, and the other one is cut off")
+    auto unreachable_services = [&] { return services_out_of_reach(host.context.backends, routing, silent, host.now); };
+    CHECK(unreachable_services().empty());
+    WHEN("its own domain is evacuated and the other one is partitioned")
     {
         host.evacuations.apply_order(hall_a, 7);
-        CHECK(lost() == std::vector { ServiceName("models") });
+        CHECK(unreachable_services() == std::vector { ServiceName("models") });
     }
-    WHEN("all domains are emptied")
+    WHEN("all domains are evacuated")
     {
         host.evacuations.apply_order(hall_a, 7);
         host.evacuations.apply_order(hall_b, 8);
-        THEN("callers are refused at once, since no other host could do more") { CHECK(lost().empty()); }
+        THEN("the host stays ready and rejects requests at once, since no other host could serve them")
+        {
+            CHECK(unreachable_services().empty());
+        }
     }
 }
--- a/Tests/LibServing/TestProcessCheck.cpp
+++ b/Tests/LibServing/TestProcessCheck.cpp
@@ -11,23 +11,23 @@
 
 using namespace Serving;
 
-SCENARIO("a connection tells whether a backend server's process has ended")
+SCENARIO("a connection attempt shows whether a backend server's process has terminated")
 {
     Http::asio::io_context loop;
     ProcessCheck check(loop);
     Backend backend;
     backend.endpoint = Test::free_endpoint();
     std::vector<ProcessState> states;
-    auto ask = [&] { check.query(backend, [&](ProcessState state) { states.push_back(state); }); };
+    auto query = [&] { check.query(backend, [&](ProcessState state) { states.push_back(state); }); };
 
     GIVEN("a process that listens")
     {
         Http::tcp::acceptor acceptor(loop, backend.endpoint);
-        WHEN("two requests ask at once")
+        WHEN("two requests query it at once")
         {
-            ask();
-            ask();
-            THEN("both hear that it lives, from one connection")
+            query();
+            query();
+            THEN("one connection shows both requests that it is running")
             {
                 Test::run_until(loop, [&] { return states.size() == 2; });
                 CHECK(states == std::vector { ProcessState::Listening, ProcessState::Listening });
@@ -39,17 +39,17 @@
                 CHECK(error == boost::asio::error::would_block);
             }
         }
-        WHEN("it ends between two questions")
+        WHEN("it terminates between two queries")
         {
-            ask();
+            query();
             Test::run_until(loop, [&] { return states.size() == 1; });
             acceptor.close();
-            ask();
+            query();
             Test::run_until(loop, [&] { return states.size() == 2; });
-            THEN("the second one finds that") { CHECK(states.back() == ProcessState::Terminated); }
+            THEN("the second query detects it") { CHECK(states.back() == ProcessState::Terminated); }
         }
     }
-    GIVEN("a process whose host answers nothing, since its queue of connections is full")
+    GIVEN("a process whose host does not respond because its accept queue is full")
     {
         Http::tcp::acceptor acceptor(loop);
         acceptor.open(backend.endpoint.protocol());
@@ -61,8 +61,8 @@
             waiting.back()->async_connect(backend.endpoint, [](boost::system::error_code) {});
         }
         loop.run_for(20ms);
-        ask();
+        query();
         Test::run_until(loop, [&] { return states.size() == 1; });
-        THEN("its end is not known") { CHECK(states.back() == ProcessState::Unknown); }
+        THEN("the state of the process is unknown") { CHECK(states.back() == ProcessState::Unknown); }
     }
 }
--- a/Tests/LibServing/TestQuarantineTable.cpp
+++ b/Tests/LibServing/TestQuarantineTable.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// The platform's table of requests that are held back, which answers at once, or fails.
-struct KeptRequests {
+/// The platform's table of quarantined requests. It responds at once, or fails.
+struct QuarantineStore {
     void list(std::string const&, std::string const& first_key, Duration,
         std::function<void(Result<Platform::RowPage>)> const& on_page)
     {
@@ -48,17 +48,17 @@
     bool fails { false };
 };
 
-/// A host that hears no other, as far as it keeps requests that are held back.
-class KeepingHost {
+/// A host that can reach no other host, with its quarantine and the table of it.
+class StoringHost {
 public:
-    explicit KeepingHost(KeptRequests& store)
+    explicit StoringHost(QuarantineStore& store)
         : table(this->context, store, this->address)
     {
         this->context.clock = [this] { return this->now; };
         this->table.start();
     }
 
-    void pass(Duration span)
+    void advance(Duration span)
     {
         auto const end = this->now + span;
         for (; this->now < end; this->now += 50ms)
@@ -83,82 +83,82 @@
 
 public:
     ServingContext context { this->loop, this->settings, this->log };
-    QuarantineTable<KeptRequests> table;
+    QuarantineTable<QuarantineStore> table;
 };
 
 }
 
-SCENARIO("requests that are held back outlive all hosts")
+SCENARIO("the quarantine survives a restart of all hosts")
 {
-    KeptRequests store;
+    QuarantineStore store;
     RequestFingerprint const request { OrganisationId("plaza"), 77 };
-    GIVEN("a host that holds one back")
+    GIVEN("a host that has quarantined a request")
     {
-        KeepingHost before(store);
-        before.pass(2s);
+        StoringHost before(store);
+        before.advance(2s);
         before.hold(request);
-        before.pass(200ms);
+        before.advance(200ms);
         CHECK(store.rows.size() == 1);
-        WHEN("another one starts, which hears nobody")
+        WHEN("another host starts and reaches no other one")
         {
-            KeepingHost after(store);
-            after.pass(2s);
-            THEN("it holds it back as well, and has read once")
+            StoringHost after(store);
+            after.advance(2s);
+            THEN("it quarantines the request as well after a single read")
             {
                 CHECK(after.context.quarantine.held_for(request, after.now).value_or(0s) > 59min);
                 CHECK(after.context.knows_quarantine);
                 CHECK(store.reads == 2);
-                after.pass(10s);
+                after.advance(10s);
                 CHECK(store.reads == 2);
             }
         }
-        WHEN("its hour is over")
+        WHEN("the quarantine has expired")
         {
             before.now += 1h;
-            before.pass(200ms);
-            THEN("the row goes") { CHECK(store.rows.empty()); }
+            before.advance(200ms);
+            THEN("the row is removed") { CHECK(store.rows.empty()); }
         }
-        WHEN("a run of it that was under way ends well")
+        WHEN("a run of it that had already started completes")
         {
             record_run_survived(before.context, request);
-            before.pass(200ms);
-            THEN("the row goes") { CHECK(store.rows.empty()); }
+            before.advance(200ms);
+            THEN("the row is removed") { CHECK(store.rows.empty()); }
         }
     }
-    GIVEN("a host that has been told what others know")
+    GIVEN("a host that has received the quarantine from others")
     {
-        KeepingHost host(store);
+        StoringHost host(store);
         wire::HostUse message;
         message.set_is_whole(true);
         message.set_knows_quarantine(true);
         apply_request_terminations(host.context, message);
-        host.pass(10s);
-        THEN("it asks the platform for nothing") { CHECK(store.reads == 0); }
+        host.advance(10s);
+        THEN("it does not read the table") { CHECK(store.reads == 0); }
     }
     GIVEN("a platform that fails")
     {
         store.fails = true;
-        KeepingHost host(store);
-        host.pass(5s);
-        THEN("it is asked now and then") { CHECK(store.reads <= 5); }
-        WHEN("it is known not to answer")
+        StoringHost host(store);
+        host.advance(5s);
+        THEN("requests to it are rate-limited") { CHECK(store.reads <= 5); }
+        WHEN("it is known to be unavailable")
         {
             host.context.reach.platform_is_lost();
             host.hold(request);
             auto const before = store.reads + store.writes;
-            host.pass(10s);
+            host.advance(10s);
             CHECK(store.reads + store.writes == before);
-            THEN("it is read and written once it is back")
+            THEN("the table is read and written once it is available again")
             {
                 store.fails = false;
                 host.context.reach.platform_answers();
-                host.pass(2s);
+                host.advance(2s);
                 CHECK(host.context.knows_quarantine);
                 CHECK(store.rows.size() == 1);
             }
         }
     }
-    GIVEN("rows that are over, or cannot be read")
+    GIVEN("rows that have expired or cannot be parsed")
     {
         wire::QuarantineRow old;
         old.set_organisation("plaza");
@@ -166,9 +166,9 @@
         old.set_held_until_unix_milliseconds(1000);
         store.rows["old"] = old.SerializeAsString();
         store.rows["of another version"] = "\xff\xff";
-        KeepingHost host(store);
-        host.pass(3s);
-        THEN("they hold nothing back; the old one goes, and the other one stays for who can read it")
+        StoringHost host(store);
+        host.advance(3s);
+        THEN("they quarantine nothing; the expired row is removed, and the unknown one stays for newer versions")
         {
             CHECK(host.context.quarantine.all().empty());
             CHECK(!store.rows.contains("old"));
--- a/Tests/LibServing/TestRateLimit.cpp
+++ b/Tests/LibServing/TestRateLimit.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A host that knows one server, and the words that it has for others.
+/// A host that knows one server, and the messages that it sends to other hosts.
 class LimitedHost {
 public:
     LimitedHost()
@@ -21,7 +21,7 @@
         this->context.limit_changed = [this](Backend const& changed) {
             wire::HostUse message;
             put_rate_limit(message, this->context, changed);
-            this->words.push_back(message);
+            this->sent_messages.push_back(message);
         };
         BackendServer server;
         server.id = EngineId("lane-1");
@@ -31,24 +31,27 @@
         this->backend = this->context.backends.update(server, this->now);
     }
 
-    void hear(std::optional<double> per_second) { record_rate_limit(this->context, *this->backend, rate(per_second)); }
-    void be_told(double per_second, u32 age_milliseconds, i64 start = 7)
+    void receive_response(std::optional<double> per_second)
+    {
+        record_rate_limit(this->context, *this->backend, rate(per_second));
+    }
+    void receive_announcement(double per_second, u32 age_milliseconds, i64 start = 7)
     {
         wire::HostUse message;
-        auto& said = *message.add_limits();
-        said.set_backend("lane-1");
-        said.set_start(start);
-        said.set_requests_per_second(per_second);
-        said.set_age_milliseconds(age_milliseconds);
+        auto& entry = *message.add_limits();
+        entry.set_backend("lane-1");
+        entry.set_start(start);
+        entry.set_requests_per_second(per_second);
+        entry.set_age_milliseconds(age_milliseconds);
         apply_rate_limits(this->context, message);
     }
-    [[nodiscard]] bool believes(std::optional<double> per_second) const
+    [[nodiscard]] bool has_limit(std::optional<double> per_second) const
     {
         return this->backend->limit == rate(per_second);
     }
 
     Instant now { 100s };
-    std::vector<wire::HostUse> words;
+    std::vector<wire::HostUse> sent_messages;
     BackendPointer backend;
 
 private:
@@ -69,63 +72,63 @@
 
 }
 
-SCENARIO("a server's last word of its limit holds, by whichever host it comes")
+SCENARIO("the last rate limit that a server advertised applies, whichever host received it")
 {
     LimitedHost host;
-    GIVEN("a server that names a limit")
+    GIVEN("a server that advertises a limit")
     {
-        host.hear(2.8);
-        CHECK(host.believes(2.8));
-        CHECK(host.words.size() == 1);
-        WHEN("it names the same again")
+        host.receive_response(2.8);
+        CHECK(host.has_limit(2.8));
+        CHECK(host.sent_messages.size() == 1);
+        WHEN("it advertises the same limit again")
         {
             host.now += 1s;
-            host.hear(2.8);
-            THEN("there is nothing to tell") { CHECK(host.words.size() == 1); }
+            host.receive_response(2.8);
+            THEN("nothing is announced") { CHECK(host.sent_messages.size() == 1); }
         }
-        WHEN("an answer names none")
+        WHEN("a response advertises none")
         {
             host.now += 1s;
-            host.hear({});
-            CHECK(host.believes({}));
-            CHECK(host.words.back().limits(0).requests_per_second() < 0);
-            THEN("a word of the time before is passed over")
+            host.receive_response({});
+            CHECK(host.has_limit({}));
+            CHECK(host.sent_messages.back().limits(0).requests_per_second() < 0);
+            THEN("an older announcement is ignored")
             {
-                host.be_told(2.8, 500);
-                CHECK(host.believes({}));
+                host.receive_announcement(2.8, 500);
+                CHECK(host.has_limit({}));
             }
-            THEN("a later one is not")
+            THEN("a later announcement applies")
             {
                 host.now += 1s;
-                host.be_told(3.5, 500);
-                CHECK(host.believes(3.5));
+                host.receive_announcement(3.5, 500);
+                CHECK(host.has_limit(3.5));
             }
         }
-        WHEN("another host has heard later that it names none")
+        WHEN("another host announces later that it advertises none")
         {
             host.now += 1s;
-            host.be_told(-1, 100);
-            THEN("that holds here") { CHECK(host.believes({})); }
+            host.receive_announcement(-1, 100);
+            THEN("that applies here") { CHECK(host.has_limit({})); }
         }
-        WHEN("it names another limit with each answer")
+        WHEN("it advertises another limit with each response")
         {
             for (int i = 0; i < 100; ++i) {
                 host.now += 10ms;
-                host.hear(i);
+                host.receive_response(i);
             }
-            THEN("the others are told now and then only") { CHECK(host.words.size() <= 5); }
+            THEN("announcements to other hosts are rate-limited") { CHECK(host.sent_messages.size() <= 5); }
         }
-        THEN("no copy goes there")
+        THEN("it receives no copies")
         {
             ChoiceInputs inputs;
             inputs.now = host.now;
             CHECK(!is_candidate(*host.backend, {}, inputs));
         }
     }
-    WHEN("a word is of a former start, or is no rate")
+    WHEN("an announcement refers to an earlier start, or is not a number")
     {
-        host.be_told(2.8, 0, 6);
-        host.be_told(std::numeric_limits<double>::quiet_NaN(), 0);
-        THEN("it is passed over") { CHECK(host.believes({})); }
+        host.receive_announcement(2.8, 0, 6);
+        host.receive_announcement(std::numeric_limits<double>::quiet_NaN(), 0);
+        THEN("it is ignored") { CHECK(host.has_limit({})); }
     }
 }
--- a/Tests/LibServing/TestRefusal.cpp
+++ b/Tests/LibServing/TestRefusal.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// Hosts that place generations on the same engines, some of which refuse everything. What hosts tell each other takes
-/// some milliseconds. Engines that refuse run nothing, so that they look the emptiest.
+/// Hosts that place generations on the same engines, some of which reject everything. Announcements between hosts take
+/// a few milliseconds. Engines that reject requests run nothing, so they look the least loaded.
 class RefusingFleet {
 public:
     static constexpr int host_count = 12;
     static constexpr int engine_count = 18;
     static constexpr Duration step = 5ms;
-    /// Of all hosts together.
+    /// All hosts together.
     static constexpr int placements_per_second = 20;
 
     RefusingFleet()
@@ -28,7 +28,7 @@
             auto& host = this->hosts.emplace_back(this->loop, this->settings, this->log);
             host.random.seed(static_cast<u32>(i));
             host.clock = [this] { return this->now; };
-            host.backend_refuses = [this, &host](Backend const& backend) { this->tell(host, backend); };
+            host.backend_refuses = [this, &host](Backend const& backend) { this->announce(host, backend); };
             for (int engine = 0; engine < engine_count; ++engine)
                 host.backends.update(this->engine(engine), this->now);
         }
@@ -41,7 +41,7 @@
         auto const end = this->now + span;
         for (int i = 0; this->now < end; ++i) {
             this->now += step;
-            this->hear();
+            this->deliver();
             if (i % static_cast<int>(1s / step / placements_per_second) == 0)
                 this->place(this->hosts[this->placements++ % host_count], refusing);
         }
@@ -63,44 +63,45 @@
         return made;
     }
 
-    void tell(ServingContext const& from, Backend const& backend)
+    void announce(ServingContext const& from, Backend const& backend)
     {
         wire::HostUse message;
         auto& refusing = *message.add_refusing();
         refusing.set_backend(backend.server.id.value());
         refusing.set_refusals(backend.health.refusals_in_a_row);
-        this->words.push_back({ this->now + 3ms, &from, message });
+        this->in_transit.push_back({ this->now + 3ms, &from, message });
     }
 
-    void hear()
+    void deliver()
     {
-        for (; !this->words.empty() && this->words.front().comes_at <= this->now; this->words.pop_front()) {
+        for (; !this->in_transit.empty() && this->in_transit.front().arrives_at <= this->now;
+             this->in_transit.pop_front()) {
             for (auto& host : this->hosts) {
-                if (&host != this->words.front().from)
-                    apply_refusals(host, this->words.front().message);
+                if (&host != this->in_transit.front().from)
+                    apply_refusals(host, this->in_transit.front().message);
             }
         }
     }
 
-    /// As a generation does: up to four engines, one after another.
+    /// Dispatches like a generation: to up to four engines, one after another.
     void place(ServingContext& host, int refusing)
     {
         std::vector<EngineId> tried;
-        for (u32 i = 0; i < most_tries; ++i) {
+        for (u32 i = 0; i < max_attempts; ++i) {
             auto chosen = choose_for_generation(host.backends.of_service(ServiceName("models")), tried,
                 { TokenCount(3000), TokenCount(800) }, TokenCount(34'000), host.choice_inputs(0.3), host.random);
             REQUIRE(chosen);
             tried.push_back(chosen->server.id);
             bool const refuses = std::stoi(chosen->server.id.value().substr(1)) < refusing;
             if (!refuses)
-                return this->take(*chosen);
+                return this->accept(*chosen);
             ++this->refused;
             record_refusal(host, *chosen, "g1", "status 429");
         }
         ++this->lost;
     }
 
-    void take(Backend& chosen)
+    void accept(Backend& chosen)
     {
         note_success(chosen);
         ++this->placed[chosen.server.id.value()];
@@ -108,16 +109,16 @@
         this->set_tokens(chosen.server.id, tokens_of_busy_engine);
     }
 
-    /// Every host hears at once of what the others have at an engine.
+    /// Every host knows at once the load that the others have at an engine.
     void set_tokens(EngineId const& engine, i64 tokens)
     {
         for (auto& host : this->hosts)
             host.backends.find(engine)->engine.peer_tokens = tokens;
     }
 
-    static constexpr u32 most_tries = 4;
-    struct Word {
-        Instant comes_at;
+    static constexpr u32 max_attempts = 4;
+    struct Announcement {
+        Instant arrives_at;
         ServingContext const* from;
         wire::HostUse message;
     };
@@ -128,7 +129,7 @@
     Instant now { 100s };
     size_t placements { 0 };
     std::deque<ServingContext> hosts;
-    std::deque<Word> words;
+    std::deque<Announcement> in_transit;
 };
 
 }
@@ -139,31 +140,32 @@
     fleet.run(5s, 0);
     CHECK(fleet.refused == 0);
 
-    WHEN("a third of the engines refuses everything")
+    WHEN("a third of the engines rejects everything")
     {
         fleet.run(20s, 6);
-        THEN("few dispatches meet them, and few generations are lost to them")
+        THEN("few dispatches reach them, and few generations are lost to them")
         {
-            // Of 400 generations; some 1,600 dispatches do, and all generations are lost, where a refusal is no news.
+            // Out of 400 generations. If rejections are not recorded, about 1,600 dispatches are rejected and all
+            // generations are lost.
             INFO(fleet.refused);
             CHECK(fleet.refused < 80);
             CHECK(fleet.lost <= 10);
         }
-        AND_WHEN("they take work again")
+        AND_WHEN("they accept work again")
         {
             fleet.placed.clear();
             fleet.run(5s, 0);
-            THEN("each of them gets some") { CHECK(fleet.placed.size() == RefusingFleet::engine_count); }
+            THEN("each of them gets work") { CHECK(fleet.placed.size() == RefusingFleet::engine_count); }
         }
     }
-    WHEN("all of them refuse")
+    WHEN("all of them reject")
     {
         fleet.run(10s, RefusingFleet::engine_count);
-        AND_WHEN("they take work again")
+        AND_WHEN("they accept work again")
         {
             fleet.lost = 0;
             fleet.run(2s, 0);
-            THEN("the next request is taken") { CHECK(fleet.lost == 0); }
+            THEN("no further generation is lost") { CHECK(fleet.lost == 0); }
         }
     }
 }
@@ -176,8 +178,8 @@
     ServingContext host(loop, settings, log);
     Instant now { 100s };
     host.clock = [&] { return now; };
-    int told = 0;
-    host.backend_refuses = [&](Backend const&) { ++told; };
+    int announced = 0;
+    host.backend_refuses = [&](Backend const&) { ++announced; };
     BackendServer server;
     server.id = EngineId("e1");
     server.address = Address("127.0.0.1:1000");
@@ -185,18 +187,18 @@
 
     record_refusal(host, *engine, "g1", "status 503");
     CHECK(engine->is_avoided(now));
-    CHECK(told == 1);
-    THEN("one more meanwhile is no news")
+    CHECK(announced == 1);
+    THEN("another rejection in the meantime is not announced")
     {
         record_refusal(host, *engine, "g2", "status 503");
-        CHECK(told == 1);
+        CHECK(announced == 1);
         CHECK(engine->health.refusals_in_a_row == 1);
     }
-    THEN("its time is over soon")
+    THEN("the avoidance ends soon")
     {
         now += 250ms;
         CHECK_FALSE(engine->is_avoided(now));
-        AND_WHEN("it refuses again")
+        AND_WHEN("it rejects again")
         {
             record_refusal(host, *engine, "g2", "status 503");
             now += 499ms;
@@ -204,26 +206,26 @@
             now += 1ms;
             CHECK_FALSE(engine->is_avoided(now));
         }
-        AND_WHEN("it takes a request")
+        AND_WHEN("it accepts a request")
         {
             note_success(*engine);
             CHECK(engine->health.refusals_in_a_row == 0);
         }
     }
-    THEN("a request that succeeds ends it")
+    THEN("a successful request ends the avoidance")
     {
         note_success(*engine);
         CHECK_FALSE(engine->is_avoided(now));
     }
-    WHEN("it refuses for long")
+    WHEN("it rejects for a long time")
     {
         for (int i = 0; i < 20; ++i) {
             now = std::max(now, engine->health.refused_until);
             record_refusal(host, *engine, "g2", "status 503");
         }
-        THEN("it is tried all the same every four seconds") { CHECK(engine->health.refused_until == now + 4s); }
+        THEN("it is still tried every four seconds") { CHECK(engine->health.refused_until == now + 4s); }
     }
-    WHEN("another host says so of one that is not known, or without a count")
+    WHEN("another host announces an unknown backend server, or no count")
     {
         wire::HostUse message;
         message.add_refusing()->set_backend("stranger");
--- a/Tests/LibServing/TestRequestFingerprint.cpp
+++ b/Tests/LibServing/TestRequestFingerprint.cpp
@@ -9,7 +9,7 @@
 
 using namespace Serving;
 
-SCENARIO("a request is known again by what its caller sends unchanged")
+SCENARIO("the fingerprint covers what a caller resends unchanged")
 {
     OrganisationId const plaza("plaza");
     Http::Request request(Http::Verb::post, "/drafts/2?lane=4", 11);
@@ -18,27 +18,27 @@
     request.body() = "Lane 4 is closed.";
     auto const before = fingerprint_of(request, plaza);
 
-    WHEN("it comes again under another attempt, with other time left")
+    WHEN("it is sent again under another attempt with another deadline")
     {
         request.set("Attempt", "second");
         request.set("Deadline", "100");
-        THEN("it is the same") { CHECK(fingerprint_of(request, plaza) == before); }
+        THEN("the fingerprint is the same") { CHECK(fingerprint_of(request, plaza) == before); }
     }
     WHEN("another organisation sends it")
     {
         auto const other = fingerprint_of(request, OrganisationId("market"));
-        THEN("it is another one")
+        THEN("the fingerprint differs")
         {
             CHECK(other != before);
             CHECK(other.organisation == OrganisationId("market"));
         }
     }
-    WHEN("its body is another one")
+    WHEN("its body differs")
     {
         request.body() = "Lane 5 is closed.";
-        THEN("it is another one") { CHECK(fingerprint_of(request, plaza) != before); }
+        THEN("the fingerprint differs") { CHECK(fingerprint_of(request, plaza) != before); }
     }
-    WHEN("its path, its question or its host is another one")
+    WHEN("its path, its query or its host differs")
     {
         request.target("/drafts/3?lane=4");
         CHECK(fingerprint_of(request, plaza) != before);
@@ -48,10 +48,10 @@
         request.set(Http::Name::host, "claims.example");
         CHECK(fingerprint_of(request, plaza) != before);
     }
-    WHEN("what stands at the end of its path stands at the beginning of its body")
+    WHEN("a character moves from the beginning of its body to the end of its path")
     {
         request.target("/drafts/2?lane=4L");
         request.body() = "ane 4 is closed.";
-        THEN("it is another one") { CHECK(fingerprint_of(request, plaza) != before); }
+        THEN("the fingerprint differs") { CHECK(fingerprint_of(request, plaza) != before); }
     }
 }
--- a/Tests/LibServing/TestRetryBudget.cpp
+++ b/Tests/LibServing/TestRetryBudget.cpp
@@ -12,10 +12,10 @@
 
 static ServiceName const lanes("lanes");
 
-/// A window, and the time that a repeat may take to reach its backend server.
-static constexpr Duration until_part = 11s;
+/// The window plus the time that a repeat may take to reach its backend server.
+static constexpr Duration time_to_share = 11s;
 
-SCENARIO("a host keeps to its part of what all may repeat")
+SCENARIO("a host stays within its share of the retry budget")
 {
     RetryBudget budget({ 0.2, 56, 10s, 8 });
     Instant now { 100s };
@@ -37,57 +37,57 @@
         }
         return spent;
     };
-    GIVEN("a host that does not know who shares the allowance")
+    GIVEN("a host that does not know how many hosts share the allowance")
     {
         CHECK(spend_all() == 0);
         CHECK(budget.take(lanes, now).hosts == 0);
-        THEN("it repeats what its requests earn") { CHECK(spend_with_requests(50) == 10); }
-        WHEN("requests come and nothing is repeated")
+        THEN("it may repeat what its requests earn") { CHECK(spend_with_requests(50) == 10); }
+        WHEN("requests arrive and none is repeated")
         {
             requests(50);
             THEN("one repeat is saved") { CHECK(spend_all() == 1); }
         }
-        WHEN("it comes to know")
+        WHEN("it learns the number")
         {
             budget.set_sharing_hosts(4, now);
-            THEN("it has no part for as long as its former process may count")
+            THEN("it has no share while repeats of its previous process may still count")
             {
                 CHECK(spend_all() == 0);
-                now += until_part - 1ms;
+                now += time_to_share - 1ms;
                 CHECK(spend_all() == 0);
                 now += 1ms;
                 CHECK(spend_all() == 6);
             }
         }
     }
-    GIVEN("a host that has known for long who shares the allowance")
+    GIVEN("a host that has long known how many hosts share the allowance")
     {
         budget.set_sharing_hosts(4, now);
-        now += until_part;
+        now += time_to_share;
         requests(50);
         CHECK(budget.take(lanes, now).hosts == 8);
         CHECK(spend_all() == 6);
         CHECK(spend_all() == 0);
-        THEN("it repeats what further requests earn") { CHECK(spend_with_requests(50) == 10); }
+        THEN("it may repeat what further requests earn") { CHECK(spend_with_requests(50) == 10); }
         WHEN("a window has passed without requests")
         {
-            now += until_part + 1s;
-            THEN("what requests have to earn is not there") { CHECK(spend_all() == 6); }
+            now += time_to_share + 1s;
+            THEN("it has only the part of its share that need not be earned") { CHECK(spend_all() == 6); }
         }
-        WHEN("many windows have passed with requests and nothing to repeat")
+        WHEN("many windows have passed with requests but no repeats")
         {
             for (int i = 0; i < 600; ++i) {
                 now += 100ms;
                 requests(1);
             }
-            THEN("it has its part, and no more") { CHECK(spend_all() == 7); }
+            THEN("it has saved no more than its share") { CHECK(spend_all() == 7); }
         }
-        WHEN("the allowance is no whole number of repeats for each")
+        WHEN("the share is not a whole number of repeats")
         {
             now += 60s;
             budget.set_sharing_hosts(22, now);
             requests(50);
-            THEN("the fraction can be saved: 2.5 are one of the allowance and 1.5 earned ones")
+            THEN("the fraction can be saved: a share of 2.5 is 1 from the allowance and 1.5 earned")
             {
                 CHECK(spend_all() == 2);
                 CHECK(spend_with_requests(3) == 1);
@@ -97,20 +97,20 @@
         {
             now += 60s;
             budget.set_sharing_hosts(295, now);
-            THEN("it repeats nothing: one saved by each host would be too many")
+            THEN("it repeats nothing, since one saved repeat per host would exceed the allowance")
             {
                 CHECK(spend_all() == 0);
                 CHECK(spend_with_requests(50) == 0);
             }
         }
-        WHEN("it does not know them any more, and then does again")
+        WHEN("the number becomes unknown and then known again")
         {
             now += 60s;
             budget.set_sharing_hosts({}, now);
             CHECK(spend_all() == 0);
             budget.set_sharing_hosts(4, now);
             CHECK(spend_all() == 0);
-            now += until_part;
+            now += time_to_share;
             CHECK(spend_all() == 6);
         }
         WHEN("the settings name a longer window")
@@ -122,20 +122,20 @@
             now += 21s;
             CHECK(spend_all() == 6);
         }
-        WHEN("another service is asked for") { CHECK(budget.take(ServiceName("others"), now).is_granted); }
+        WHEN("another service is called") { CHECK(budget.take(ServiceName("others"), now).is_granted); }
     }
 }
 
 SCENARIO("in no window do repeats exceed the ratio of its requests and the host's part of the allowance")
 {
-    rc::prop("any mixture of requests, repeats and pauses", [](std::vector<u8> const& steps) {
+    rc::prop("for any sequence of requests, repeats and idle times", [](std::vector<u8> const& steps) {
         constexpr double ratio = 0.2;
         constexpr double allowance = 56;
         constexpr u32 hosts = 8;
         RetryBudget budget({ ratio, allowance, 10s, hosts });
         Instant now { 100s };
         budget.set_sharing_hosts(hosts, now);
-        now += until_part;
+        now += time_to_share;
         std::deque<std::pair<Instant, bool>> seen;
         for (auto step : steps) {
             if (step % 3 == 0)
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -27,23 +27,23 @@
     return entry;
 }
 
-AnswerHead asking_for(Duration back_off)
+AnswerHead requesting_back_off(Duration back_off)
 {
     AnswerHead head;
     head.back_off_for = back_off;
     return head;
 }
 
-/// What one host believes of backend servers that answer it.
-class AskedHost {
+/// A host and the backend servers that respond to it.
+class NotifiedHost {
 public:
-    AskedHost()
+    NotifiedHost()
     {
         this->context.clock = [this] { return this->now; };
     }
 
     void list(std::string const& id, i64 start = 1'000) { this->servers.changed(entry_of(id, start)); }
-    void lapse(std::string const& id) { this->servers.removed(EngineId(id)); }
+    void remove(std::string const& id) { this->servers.removed(EngineId(id)); }
     [[nodiscard]] BackendPointer server(std::string const& id) const
     {
         return this->context.backends.find(EngineId(id));
@@ -52,18 +52,18 @@
     {
         return this->context.backends.of_service(ServiceName("models"));
     }
-    void hear(std::string const& id, AnswerHead const& head)
+    void receive(std::string const& id, AnswerHead const& head)
     {
         apply_server_notice(this->context, *this->server(id), head);
     }
-    void pass(Duration span)
+    void advance(Duration span)
     {
         this->now += span;
         this->servers.tick();
     }
 
-    /// The servers that each sender of new work would choose among all.
-    [[nodiscard]] bool anyone_is_sent_work()
+    /// Whether new work would be sent to any server, which must be the same for calls, generations and copies.
+    [[nodiscard]] bool any_server_gets_work()
     {
         auto const inputs = this->context.choice_inputs(0);
         GenerationNeed const need { TokenCount(1000), TokenCount(100) };
@@ -95,176 +95,178 @@
 
 }
 
-// A host went on sending to a server that had asked it for a pause, once another request had ended well there.
+// Regression: a host continued to send to a server during a requested back-off, because another request had succeeded
+// there.
 SCENARIO("what a server has asked for holds until its time is over, and nothing else ends it")
 {
-    AskedHost host;
+    NotifiedHost host;
     host.list("a");
-    GIVEN("a server that has asked for three seconds")
+    GIVEN("a server that has requested a back-off of three seconds")
     {
-        host.hear("a", asking_for(3s));
-        host.pass(1s);
-        auto holds_until_then = [&] {
-            host.pass(1999ms);
-            CHECK_FALSE(host.anyone_is_sent_work());
-            host.pass(1ms);
-            CHECK(host.anyone_is_sent_work());
+        host.receive("a", requesting_back_off(3s));
+        host.advance(1s);
+        auto back_off_holds = [&] {
+            host.advance(1999ms);
+            CHECK_FALSE(host.any_server_gets_work());
+            host.advance(1ms);
+            CHECK(host.any_server_gets_work());
         };
-        THEN("it is sent nothing until then, and work again afterwards") { holds_until_then(); }
-        WHEN("a request that was under way ends well there")
+        THEN("it gets no work for that time, and gets work again afterwards") { back_off_holds(); }
+        WHEN("an earlier request succeeds there")
         {
             note_success(*host.server("a"));
-            THEN("that changes nothing") { holds_until_then(); }
+            THEN("the back-off still applies") { back_off_holds(); }
         }
-        WHEN("a later answer asks for less")
+        WHEN("a later response requests a shorter back-off")
         {
-            host.hear("a", asking_for(200ms));
-            THEN("that changes nothing") { holds_until_then(); }
+            host.receive("a", requesting_back_off(200ms));
+            THEN("the back-off still applies") { back_off_holds(); }
         }
-        WHEN("a later answer asks for nothing")
+        WHEN("a later response requests no back-off")
         {
-            host.hear("a", {});
-            THEN("that changes nothing") { holds_until_then(); }
+            host.receive("a", {});
+            THEN("the back-off still applies") { back_off_holds(); }
         }
-        WHEN("other hosts have been refused as well")
+        WHEN("the server has rejected requests of other hosts as well")
         {
             wire::HostUse message;
             auto& refusing = *message.add_refusing();
             refusing.set_backend("a");
             refusing.set_refusals(1);
             apply_refusals(host.context, message);
-            THEN("that changes nothing") { holds_until_then(); }
+            THEN("the back-off still applies") { back_off_holds(); }
         }
-        WHEN("its entry lapses and comes back")
+        WHEN("its entry is removed and added again")
         {
             auto const before = host.server("a");
-            host.lapse("a");
+            host.remove("a");
             host.list("a");
             REQUIRE(host.server("a") != before);
-            THEN("that changes nothing") { holds_until_then(); }
+            THEN("the back-off still applies") { back_off_holds(); }
         }
     }
-    GIVEN("a server that has asked for longer than a host's settings allow")
+    GIVEN("a server that has requested a longer back-off than the settings of the host allow")
     {
         host.settings.longest_back_off = 2s;
-        host.hear("a", asking_for(10h));
-        host.pass(2s);
-        THEN("it is tried then") { CHECK(host.anyone_is_sent_work()); }
+        host.receive("a", requesting_back_off(10h));
+        host.advance(2s);
+        THEN("it gets work after the longest allowed back-off") { CHECK(host.any_server_gets_work()); }
     }
-    GIVEN("a new start of a server that had asked")
+    GIVEN("a new start of a server that had requested a back-off")
     {
-        host.hear("a", asking_for(1h));
+        host.receive("a", requesting_back_off(1h));
         host.list("a", 2'000);
-        THEN("that one has asked for nothing") { CHECK(host.anyone_is_sent_work()); }
+        THEN("the back-off does not apply to the new start") { CHECK(host.any_server_gets_work()); }
     }
-    GIVEN("another process at its address that asks")
+    GIVEN("another process at its address that requests a back-off")
     {
-        auto head = asking_for(1h);
+        auto head = requesting_back_off(1h);
         head.is_misdirected = true;
-        host.hear("a", head);
-        THEN("it is not its word") { CHECK(host.anyone_is_sent_work()); }
+        host.receive("a", head);
+        THEN("the notice does not apply to the server") { CHECK(host.any_server_gets_work()); }
     }
 }
 
-// A server that had said that it leaves got work again when its entry lapsed and came back.
+// Regression: a server that had reported that it was leaving received work again after its entry had been removed and
+// added again.
 SCENARIO("a process that has said that it leaves is sent nothing new, and nothing takes that back")
 {
-    AskedHost host;
+    NotifiedHost host;
     host.list("a");
     AnswerHead leaving;
     leaving.is_leaving = true;
-    GIVEN("an answer that says so")
+    GIVEN("a response with the notice")
     {
-        host.hear("a", leaving);
-        WHEN("its later answers do not")
+        host.receive("a", leaving);
+        WHEN("later responses do not contain it")
         {
-            host.hear("a", {});
-            THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
+            host.receive("a", {});
+            THEN("it gets no work") { CHECK_FALSE(host.any_server_gets_work()); }
         }
-        WHEN("the list says that it serves")
+        WHEN("the list reports it as in service")
         {
             host.list("a");
-            THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
+            THEN("it gets no work") { CHECK_FALSE(host.any_server_gets_work()); }
         }
-        WHEN("its entry lapses and comes back")
+        WHEN("its entry is removed and added again")
         {
-            host.lapse("a");
-            host.pass(10s);
+            host.remove("a");
+            host.advance(10s);
             host.list("a");
-            THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
+            THEN("it gets no work") { CHECK_FALSE(host.any_server_gets_work()); }
         }
     }
-    GIVEN("an answer that comes while its entry has lapsed")
+    GIVEN("a response that arrives while its entry is removed")
     {
         auto const before = host.server("a");
-        host.lapse("a");
+        host.remove("a");
         apply_server_notice(host.context, *before, leaving);
         host.list("a");
-        THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
+        THEN("it gets no work") { CHECK_FALSE(host.any_server_gets_work()); }
     }
-    GIVEN("an answer to a request from before its entry lapsed, which has come back since")
+    GIVEN("a response to a request sent before its entry was removed and added again")
     {
         auto const before = host.server("a");
-        host.lapse("a");
+        host.remove("a");
         host.list("a");
         REQUIRE(host.server("a") != before);
-        WHEN("it says so")
+        WHEN("it contains the notice")
         {
             apply_server_notice(host.context, *before, leaving);
-            THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
+            THEN("it gets no work") { CHECK_FALSE(host.any_server_gets_work()); }
         }
-        WHEN("it asks for a pause")
+        WHEN("it requests a back-off")
         {
-            apply_server_notice(host.context, *before, asking_for(3s));
-            THEN("it is sent nothing") { CHECK_FALSE(host.anyone_is_sent_work()); }
+            apply_server_notice(host.context, *before, requesting_back_off(3s));
+            THEN("it gets no work") { CHECK_FALSE(host.any_server_gets_work()); }
         }
     }
     GIVEN("a later start under its id")
     {
-        host.hear("a", leaving);
+        host.receive("a", leaving);
         host.list("a", 2'000);
-        THEN("that one serves") { CHECK(host.anyone_is_sent_work()); }
+        THEN("the new start gets work") { CHECK(host.any_server_gets_work()); }
     }
-    GIVEN("another process at its address that says so")
+    GIVEN("another process at its address that sends the notice")
     {
         leaving.is_misdirected = true;
-        host.hear("a", leaving);
-        THEN("it is not its word") { CHECK(host.anyone_is_sent_work()); }
+        host.receive("a", leaving);
+        THEN("the notice does not apply to the server") { CHECK(host.any_server_gets_work()); }
     }
 }
 
 SCENARIO("where all servers have asked for a pause, who asks is refused with the first time at which one may take it")
 {
-    AskedHost host;
+    NotifiedHost host;
     for (auto const* id : { "a", "b", "c" })
         host.list(id);
-    host.hear("a", asking_for(6s));
-    host.hear("b", asking_for(2s));
-    host.hear("c", asking_for(4s));
+    host.receive("a", requesting_back_off(6s));
+    host.receive("b", requesting_back_off(2s));
+    host.receive("c", requesting_back_off(4s));
     auto const decision = host.admission();
     CHECK(decision.verdict == AdmissionVerdict::BackingOff);
     CHECK(decision.retry_after >= 2s);
     CHECK(decision.retry_after <= 2500ms);
     CHECK(shortest_back_off(host.all(), host.now) == Duration(2s));
-    WHEN("the first of them is over")
+    WHEN("the first back-off has ended")
     {
-        host.pass(2s);
-        THEN("that one is chosen") { CHECK(host.admission().engine->server.id == EngineId("b")); }
+        host.advance(2s);
+        THEN("that server is chosen") { CHECK(host.admission().engine->server.id == EngineId("b")); }
     }
 }
 
 SCENARIO("in any series of answers, successes and entries that come and go, the latest end that was asked for holds")
 {
-    rc::prop("of one server at one start", [](std::vector<std::pair<u8, u8>> const& words) {
-        AskedHost host;
+    rc::prop("for one start of a server", [](std::vector<std::pair<u8, u8>> const& steps) {
+        NotifiedHost host;
         host.list("a");
         Instant until {};
-        for (auto const& [what, which] : words) {
+        for (auto const& [what, which] : steps) {
             auto const span = std::chrono::milliseconds(which * 20);
             switch (what % 5) {
             case 0:
                 if (host.server("a")) {
-                    host.hear("a", asking_for(span));
+                    host.receive("a", requesting_back_off(span));
                     until = std::max(until, host.now + span);
                 }
                 break;
@@ -273,13 +275,13 @@
                     note_success(*host.server("a"));
                 break;
             case 2:
-                host.lapse("a");
+                host.remove("a");
                 break;
             case 3:
                 host.list("a");
                 break;
             default:
-                host.pass(span);
+                host.advance(span);
             }
             if (host.server("a"))
                 RC_ASSERT(host.server("a")->takes_work_at(host.now) == (host.now >= until));
@@ -289,23 +291,23 @@
 
 SCENARIO("servers that name limits, ask for back-off and leave, in any series, are sent what they want and no more")
 {
-    rc::prop("by one host, which is the only one", [](std::vector<std::tuple<u8, u8, u8>> const& words) {
-        AskedHost host;
+    rc::prop("with a single host", [](std::vector<std::tuple<u8, u8, u8>> const& steps) {
+        NotifiedHost host;
         host.context.reach.learn({}, host.now);
-        host.pass(10s);
+        host.advance(10s);
         std::vector<std::string> const ids { "a", "b", "c" };
         for (auto const& id : ids)
             host.list(id);
         std::map<std::string, Instant> until;
         std::set<std::string> leaving;
         std::map<std::string, std::vector<Instant>> sent;
-        for (auto const& [what, who, amount] : words) {
+        for (auto const& [what, who, amount] : steps) {
             auto const& id = ids[who % ids.size()];
             auto const span = std::chrono::milliseconds(amount * 20);
             AnswerHead head;
             switch (what % 8) {
             case 0:
-                host.hear(id, asking_for(span));
+                host.receive(id, requesting_back_off(span));
                 until[id] = std::max(until[id], host.now + span);
                 break;
             case 1:
@@ -316,27 +318,27 @@
                 break;
             case 3:
                 head.is_leaving = amount % 16 == 0;
-                host.hear(id, head);
+                host.receive(id, head);
                 if (head.is_leaving)
                     leaving.insert(id);
                 break;
             case 4:
-                host.pass(span);
+                host.advance(span);
                 break;
             default: {
                 auto const inputs = host.context.choice_inputs(0);
                 auto const chosen = choose_for_call(host.all(), {}, inputs, host.context.random);
-                bool const one_would = std::ranges::any_of(ids, [&](std::string const& candidate) {
+                bool const any_would_accept = std::ranges::any_of(ids, [&](std::string const& candidate) {
                     return host.now >= until[candidate] && !leaving.contains(candidate)
                         && host.context.server_limits.may_send(*host.server(candidate), host.now);
                 });
-                RC_ASSERT((chosen != nullptr) == one_would);
+                RC_ASSERT((chosen != nullptr) == any_would_accept);
                 if (!chosen)
                     break;
                 auto const& chosen_id = chosen->server.id.value();
                 RC_ASSERT(host.now >= until[chosen_id]);
                 RC_ASSERT(!leaving.contains(chosen_id));
-                // A limit that has not been heard of for so long may be tried.
+                // A limit may expire if it is not renewed for this long.
                 constexpr Duration limit_surely_holds = 20s;
                 if (chosen->limit && host.now - *chosen->limit_heard_at < limit_surely_holds) {
                     auto const lately = std::ranges::count_if(
@@ -348,8 +350,8 @@
             }
             }
         }
-        // Once no time that was asked for is left, and no limit holds any more, all that have not left serve again.
-        host.pass(1h);
+        // Once all back-offs and limits have expired, every server that is not leaving accepts work again.
+        host.advance(1h);
         for (auto const& id : ids)
             RC_ASSERT(host.server(id)->takes_work_at(host.now) == !leaving.contains(id));
     });
--- a/Tests/LibServing/TestSuspicion.cpp
+++ b/Tests/LibServing/TestSuspicion.cpp
@@ -17,7 +17,8 @@
         : context(this->loop, this->settings, this->log)
     {
         this->context.clock = [this] { return this->now; };
-        this->context.backend_unreachable = [this](Backend const&, Duration avoided) { this->told.push_back(avoided); };
+        this->context.backend_unreachable
+            = [this](Backend const&, Duration avoided) { this->announced.push_back(avoided); };
         BackendServer server;
         server.id = EngineId("e1");
         server.service = ServiceName("models");
@@ -25,7 +26,7 @@
         this->backend = this->context.backends.update(server, this->now);
     }
 
-    void hear_from(std::string const& host, u32 avoided_milliseconds = 250)
+    void receive_from(std::string const& host, u32 avoided_milliseconds = 250)
     {
         wire::HostUse message;
         auto& unreachable = *message.add_unreachable();
@@ -46,59 +47,59 @@
     } };
     ServingContext context;
     BackendPointer backend;
-    std::vector<Duration> told;
+    std::vector<Duration> announced;
 };
 
 }
 
-SCENARIO("hosts tell each other of backend servers that they cannot connect to")
+SCENARIO("hosts announce backend servers that they cannot connect to")
 {
     SuspicionFixture fixture;
     WHEN("this host cannot connect to one")
     {
         suspect(fixture.context, *fixture.backend, { true, "a1", "refused" });
-        THEN("it avoids it and tells the others for how long")
+        THEN("it avoids it and announces for how long")
         {
             CHECK(fixture.is_avoided());
-            CHECK(fixture.told == std::vector<Duration> { 250ms });
+            CHECK(fixture.announced == std::vector<Duration> { 250ms });
         }
     }
     WHEN("a request fails at one that can be connected to")
     {
         suspect(fixture.context, *fixture.backend, { false, "a1", "status 500" });
-        THEN("that is this host's own affair") { CHECK(fixture.told.empty()); }
+        THEN("nothing is announced") { CHECK(fixture.announced.empty()); }
     }
     WHEN("one other host cannot connect to it")
     {
-        fixture.hear_from("host-2");
-        fixture.hear_from("host-2");
-        THEN("that host may itself be cut off, and is not believed") { CHECK_FALSE(fixture.is_avoided()); }
-        AND_WHEN("a second one cannot either")
+        fixture.receive_from("host-2");
+        fixture.receive_from("host-2");
+        THEN("nothing changes here, since that host may itself be partitioned") { CHECK_FALSE(fixture.is_avoided()); }
+        AND_WHEN("a second host cannot either")
         {
-            fixture.hear_from("host-3");
+            fixture.receive_from("host-3");
             CHECK(fixture.is_avoided());
             fixture.log.flush();
             CHECK(fixture.log_text.find("E2308 backend_server_suspected subject=e1") != std::string::npos);
-            THEN("the word of both holds for the time that they said")
+            THEN("it is avoided for the announced time")
             {
                 fixture.now += 251ms;
                 CHECK_FALSE(fixture.is_avoided());
             }
-            THEN("a request that succeeds here says more")
+            THEN("a successful request of this host ends the avoidance")
             {
                 note_success(*fixture.backend);
                 CHECK_FALSE(fixture.is_avoided());
             }
         }
     }
-    WHEN("two other hosts name a time without end")
+    WHEN("two other hosts announce an excessive time")
     {
-        fixture.hear_from("host-2", 3'600'000);
-        fixture.hear_from("host-3", 3'600'000);
+        fixture.receive_from("host-2", 3'600'000);
+        fixture.receive_from("host-3", 3'600'000);
         fixture.now += 3s;
         CHECK_FALSE(fixture.is_avoided());
     }
-    WHEN("a backend server is named that is not known here")
+    WHEN("another host announces an unknown backend server")
     {
         wire::HostUse message;
         message.add_unreachable()->set_backend("stranger");
