--- a/Libraries/LibServing/Admission.cpp
+++ b/Libraries/LibServing/Admission.cpp
@@ -48,8 +48,8 @@
     bool const is_remote = backend.server.failure_domain != inputs.host_failure_domain;
     auto const held = estimated_tokens(backend, inputs.now);
     // An empty engine accepts the same generations from local and remote hosts.
-    auto const unseen = is_remote && held > 0 ? remote_reserve_generations * wanted : 0;
-    return held + wanted + unseen <= memory.value();
+    auto const reserve = is_remote && held > 0 ? remote_reserve_generations * wanted : 0;
+    return held + wanted + reserve <= memory.value();
 }
 
 static Duration prefill_time(i64 tokens)
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -47,13 +47,13 @@
 
 void apply_refusals(ServingContext& context, wire::HostUse const& message)
 {
-    for (auto const& said : message.refusing()) {
-        auto backend = context.backends.find(EngineId(said.backend()));
-        if (!backend || !backend->is_start(ServerStart(said.start())) || said.refusals() == 0)
+    for (auto const& entry : message.refusing()) {
+        auto backend = context.backends.find(EngineId(entry.backend()));
+        if (!backend || !backend->is_start(ServerStart(entry.start())) || entry.refusals() == 0)
             continue;
         auto& health = backend->health;
-        health.refusals_in_a_row = std::max(health.refusals_in_a_row, said.refusals());
-        health.refused_until = std::max(health.refused_until, context.now() + avoidance_after(said.refusals()));
+        health.refusals_in_a_row = std::max(health.refusals_in_a_row, entry.refusals());
+        health.refused_until = std::max(health.refused_until, context.now() + avoidance_after(entry.refusals()));
     }
 }
 
--- a/Libraries/LibServing/Suspicion.cpp
+++ b/Libraries/LibServing/Suspicion.cpp
@@ -30,17 +30,17 @@
 void apply_suspicions(ServingContext& context, MemberId const& host, wire::HostUse const& message)
 {
     auto now = context.now();
-    for (auto const& said : message.unreachable()) {
-        auto backend = context.backends.find(EngineId(said.backend()));
-        if (!backend || !backend->is_start(ServerStart(said.start())))
+    for (auto const& entry : message.unreachable()) {
+        auto backend = context.backends.find(EngineId(entry.backend()));
+        if (!backend || !backend->is_start(ServerStart(entry.start())))
             continue;
         bool const was_avoided = backend->is_avoided(now);
         auto avoidance
-            = std::min<Duration>(std::chrono::milliseconds(said.avoided_milliseconds()), max_announced_avoidance);
+            = std::min<Duration>(std::chrono::milliseconds(entry.avoided_milliseconds()), max_announced_avoidance);
         backend->health.told_avoidance[host] = now + avoidance;
         if (was_avoided || !backend->is_avoided(now))
             continue;
-        context.log.event(Core::EventNumber::BackendServerSuspected, said.backend())
+        context.log.event(Core::EventNumber::BackendServerSuspected, entry.backend())
             .with("avoided_ms", avoidance)
             .with("reason", "other hosts cannot connect to it");
     }
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -243,7 +243,7 @@
     Libraries/LibServing/ServerLimits.cpp "if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->window)" "if (false)"
 guard "admission: memory" TestFleet \
     "Scenario: a load beyond what the engines bear does not bring down what they serve in time" \
-    Libraries/LibServing/Admission.cpp "return held + wanted + unseen <= memory.value();" "return true;"
+    Libraries/LibServing/Admission.cpp "return held + wanted + reserve <= memory.value();" "return true;"
 guard "admission: what is to be read" TestLibServing \
     "Scenario: a generation is refused at once while no engine has room for it" \
     Libraries/LibServing/Admission.cpp "&& prefills_in_time(backend, demand)" ""
