--- a/Tests/LibServing/TestStaleEstimates.cpp
+++ b/Tests/LibServing/TestStaleEstimates.cpp
@@ -101,15 +101,15 @@
 {
     PlacementRate rate;
     Instant now { 100s };
-    CHECK(rate.unseen(now, 59, 250ms) == 0);
+    CHECK(rate.estimate_unseen(now, 59, 250ms) == 0);
     for (int i = 0; i < 65; ++i) {
         now += 1540ms;
         rate.record(now);
     }
-    CHECK(rate.unseen(now, 59, 250ms) == Approx(0.65 * 59 * 0.25).epsilon(0.1));
+    CHECK(rate.estimate_unseen(now, 59, 250ms) == Approx(0.65 * 59 * 0.25).epsilon(0.1));
     THEN("the estimate is almost zero for a few hosts that update each other within milliseconds")
     {
-        CHECK(rate.unseen(now, 3, 12ms) < 0.03);
+        CHECK(rate.estimate_unseen(now, 3, 12ms) < 0.03);
     }
-    WHEN("the host places nothing more") { CHECK(rate.unseen(now + 60s, 59, 250ms) < 0.1); }
+    WHEN("the host places nothing more") { CHECK(rate.estimate_unseen(now + 60s, 59, 250ms) < 0.1); }
 }
