--- a/Libraries/LibServing/PlacementRate.h
+++ b/Libraries/LibServing/PlacementRate.h
@@ -23,7 +23,7 @@
     }
 
     /// Estimated number of placements that `deciders` hosts with the same rate make in `age`.
-    [[nodiscard]] double unseen(Instant now, size_t deciders, Duration age) const
+    [[nodiscard]] double estimate_unseen(Instant now, size_t deciders, Duration age) const
     {
         return this->current(now) * static_cast<double>(deciders) * AK::to_seconds(age);
     }
