--- a/Libraries/LibServing/Quarantine.h
+++ b/Libraries/LibServing/Quarantine.h
@@ -39,6 +39,7 @@
     static constexpr Duration retention_time = 1h;
 
     struct Entry {
+        /// Processes that terminated while running the request.
         std::set<ServerProcess> terminated_under;
         /// Empty while the request is not quarantined.
         std::optional<Instant> held_until;
--- a/Libraries/LibServing/RateLimit.h
+++ b/Libraries/LibServing/RateLimit.h
@@ -25,7 +25,7 @@
 enum class LimitScope : u8 {
     /// Limits that servers have advertised to this host.
     Own,
-    /// All known limits, for hosts to which this host forwards the state of others.
+    /// All known limits, for messages that this host sends as the representative of its domain.
     All,
 };
 
--- a/Libraries/LibServing/RetryBudget.h
+++ b/Libraries/LibServing/RetryBudget.h
@@ -50,8 +50,9 @@
     /// at first, as after a start.
     void set_limits(Limits);
     /// Sets the number of hosts that share the allowance, as known at `now`. A host that does not know the number has
-    /// no share. It gets one only a window after it learned the number: by then the repeats of its previous process,
-    /// and those that other hosts made by their larger former shares, have left the window.
+    /// no share. It gets one only a window after it learned the number. By then the window no longer contains the
+    /// repeats of its previous process, nor those that other hosts made with larger shares before they knew of this
+    /// host.
     void set_sharing_hosts(std::optional<u32> hosts, Instant now);
     /// Records a request, which earns its fraction of a further dispatch.
     void record_request(ServiceName const&, Instant now);
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -43,8 +43,8 @@
 private:
     /// Why the requests to a backend server are bounded.
     enum class BoundReason : u8 {
-        /// The server has started recently, and the operator has configured how many requests servers of the service
-        /// sustain while cold. A cold server collapses under more.
+        /// The server is cold, and the operator has configured how many requests servers of the service sustain while
+        /// cold. A cold server collapses under more.
         ColdStart,
         /// The server has advertised a rate limit.
         RateLimit,
