--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -19,7 +19,7 @@
 #include <LibServing/PeerLink.h>
 #include <LibServing/PlannedStop.h>
 #include <LibServing/QuarantineTable.h>
-#include <LibServing/RequestDesk.h>
+#include <LibServing/RequestHandler.h>
 #include <LibServing/ServiceReach.h>
 #include <boost/asio/signal_set.hpp>
 
@@ -423,7 +423,7 @@
     Core::StructuredLog& log;
     Reload reload;
     ServingContext context;
-    RequestDesk<typename P::Dialect> desk;
+    RequestHandler<typename P::Dialect> desk;
     EngineReporter<typename P::Dialect> reporter;
     PeerLink peers;
     BackendList backends;
--- a/Libraries/LibServing/RequestDesk.h
+++ b/Libraries/LibServing/RequestHandler.h
@@ -13,9 +13,9 @@
 
 /// Takes callers' requests: checks each against the configuration in force and starts what serves it.
 template<Dialect D>
-class RequestDesk {
+class RequestHandler {
 public:
-    explicit RequestDesk(ServingContext& context)
+    explicit RequestHandler(ServingContext& context)
         : context(context)
     {
     }
