--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <AK/Timer.h>
-#include <LibServing/Flow.h>
+#include <LibServing/RequestFlow.h>
 #include <algorithm>
 #include <boost/random/uniform_real_distribution.hpp>
 
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -13,9 +13,9 @@
 
 /// A generation: placed on an engine, relayed event by event, and moved to another engine when its own is leaving.
 template<Dialect D>
-class Generation : public Flow, public std::enable_shared_from_this<Generation<D>> {
+class Generation : public RequestFlow, public std::enable_shared_from_this<Generation<D>> {
 public:
-    using Flow::Flow;
+    using RequestFlow::RequestFlow;
 
     void start()
     {
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -8,7 +8,7 @@
 
 #include <AK/Timer.h>
 #include <LibServing/EngineClaim.h>
-#include <LibServing/Flow.h>
+#include <LibServing/RequestFlow.h>
 
 namespace Serving {
 
--- a/Libraries/LibServing/Flow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -36,9 +36,9 @@
 };
 
 /// What both kinds of request do in the same way.
-class Flow {
+class RequestFlow {
 public:
-    Flow(ServingContext& context, AdmittedCall call)
+    RequestFlow(ServingContext& context, AdmittedCall call)
         : context(context)
         , call(std::move(call))
         , deadline_timer(context.loop)
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -6,16 +6,16 @@
 
 #pragma once
 
-#include <LibServing/Flow.h>
+#include <LibServing/RequestFlow.h>
 #include <boost/random/uniform_real_distribution.hpp>
 
 namespace Serving {
 
 /// A call to a plain service: one answer, whole or not at all.
 template<Dialect D>
-class ServiceCall : public Flow, public std::enable_shared_from_this<ServiceCall<D>> {
+class ServiceCall : public RequestFlow, public std::enable_shared_from_this<ServiceCall<D>> {
 public:
-    using Flow::Flow;
+    using RequestFlow::RequestFlow;
 
     void start()
     {
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -161,7 +161,7 @@
     "Scenario: a connection is closed without an answer between requests only" \
     Libraries/LibHttp/CallerConnection.cpp "this->idle_patience = this->context->limits.idle_timeout;" ""
 guard "a request has one end" TestPlatform "Scenario: a call to a plain service goes through a host on the users' platform" \
-    Libraries/LibServing/Flow.h "!error && !this->is_over" "!error"
+    Libraries/LibServing/RequestFlow.h "!error && !this->is_over" "!error"
 
 guard "an engine off the list is asked for its end" TestPlatform \
     "Scenario: an engine that goes off the list without a word is asked until it says when it ends" \
