--- a/Libraries/LibServing/Answers.cpp
+++ b/Libraries/LibServing/ErrorResponse.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/Answers.h>
+#include <LibServing/ErrorResponse.h>
 #include <boost/json/serialize.hpp>
 #include <boost/json/value.hpp>
 #include <iomanip>
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -8,8 +8,8 @@
 
 #include <AK/Timer.h>
 #include <LibHttp/Exchange.h>
-#include <LibServing/Answers.h>
 #include <LibServing/Dialect.h>
+#include <LibServing/ErrorResponse.h>
 #include <LibServing/RateLimit.h>
 #include <LibServing/Refusal.h>
 #include <LibServing/RequestTerminations.h>
@@ -100,7 +100,7 @@
         return request;
     }
 
-    /// Answers in place of a backend server, and says so in the log.
+    /// ErrorResponse in place of a backend server, and says so in the log.
     void answer_error(Error const& error, Conclusion conclusion)
     {
         auto status = status_for(error, conclusion);
