--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -13,7 +13,7 @@
 #include <LibServing/EngineReporter.h>
 #include <LibServing/HostDirectory.h>
 #include <LibServing/HostPlatform.h>
-#include <LibServing/LogPacer.h>
+#include <LibServing/LogRateLimiter.h>
 #include <LibServing/NewsExchange.h>
 #include <LibServing/OperatorTable.h>
 #include <LibServing/PeerLink.h>
@@ -448,7 +448,7 @@
     std::optional<PlannedStop> stop;
     bool backends_known { false };
     /// Entries that cannot be read come again with each heartbeat of whoever writes them.
-    LogPacer rejected_rows { 1min };
+    LogRateLimiter rejected_rows { 1min };
     std::vector<ServiceName> out_of_reach;
     std::vector<FailureDomainId> silent_domains;
     bool said_ready { false };
--- a/Libraries/LibServing/LogPacer.h
+++ b/Libraries/LibServing/LogRateLimiter.h
@@ -14,9 +14,9 @@
 
 /// Lets a line about one subject through once in a span of time. It remembers a bounded number of subjects, and lets
 /// lines about others through once it is full.
-class LogPacer {
+class LogRateLimiter {
 public:
-    explicit LogPacer(Duration span)
+    explicit LogRateLimiter(Duration span)
         : span(span)
     {
     }
