--- a/Libraries/LibServing/Dialect.h
+++ b/Libraries/LibServing/Dialect.h
@@ -51,7 +51,7 @@
 };
 
 /// What a backend server's head says, apart from what HTTP itself says.
-struct AnswerHead {
+struct BackendResponseHead {
     /// The caller's attempt that it answers; empty when it does not say.
     std::string attempt;
     /// It says that the request was not and will not be run.
@@ -87,7 +87,7 @@
     T::remove_server_notice(fields);
     {
         T::decode_answer(response)
-        } -> std::same_as<AnswerHead>;
+        } -> std::same_as<BackendResponseHead>;
     {
         T::engine_report_request(backend)
         } -> std::same_as<Http::Request>;
--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -123,7 +123,7 @@
         auto body = std::make_shared<std::string>();
         auto patience = std::make_shared<AK::Timer>(this->context.loop, answer_patience);
         auto is_answered = std::make_shared<bool>(false);
-        auto notice = std::make_shared<AnswerHead>();
+        auto notice = std::make_shared<BackendResponseHead>();
         patience->async_wait([connection, backend, is_answered](boost::system::error_code error) {
             // The answer may have come in the same turn of the loop, and the connection be in use again.
             if (error || *is_answered)
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -231,7 +231,7 @@
     }
 
     /// Keeps what the backend server says of its load, if it says anything.
-    void note_load(Backend& backend, AnswerHead const& answer)
+    void note_load(Backend& backend, BackendResponseHead const& answer)
     {
         if (!answer.load)
             return;
@@ -254,7 +254,7 @@
     AK::Timer deadline_timer;
     /// Of the dispatch under way or the last one; empty until its head has come.
     std::optional<Http::ResponseHead> answer_head;
-    AnswerHead answer;
+    BackendResponseHead answer;
     /// A whole answer, so far. Streams pass it by.
     std::string answer_body;
     bool is_over { false };
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -38,7 +38,7 @@
     backend.note_own_word_to_leave();
 }
 
-static void apply(ServingContext& context, Backend& backend, AnswerHead const& answer)
+static void apply(ServingContext& context, Backend& backend, BackendResponseHead const& answer)
 {
     if (answer.back_off_for)
         back_off(context, backend, *answer.back_off_for);
@@ -46,7 +46,7 @@
         record_leaving(context, backend);
 }
 
-void apply_server_notice(ServingContext& context, Backend& backend, AnswerHead const& answer)
+void apply_server_notice(ServingContext& context, Backend& backend, BackendResponseHead const& answer)
 {
     // The response comes from another process at the same address.
     if (answer.is_misdirected)
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -27,9 +27,9 @@
     return entry;
 }
 
-AnswerHead requesting_back_off(Duration back_off)
+BackendResponseHead requesting_back_off(Duration back_off)
 {
-    AnswerHead head;
+    BackendResponseHead head;
     head.back_off_for = back_off;
     return head;
 }
@@ -52,7 +52,7 @@
     {
         return this->context.backends.of_service(ServiceName("models"));
     }
-    void receive(std::string const& id, AnswerHead const& head)
+    void receive(std::string const& id, BackendResponseHead const& head)
     {
         apply_server_notice(this->context, *this->server(id), head);
     }
@@ -173,7 +173,7 @@
 {
     NotifiedHost host;
     host.list("a");
-    AnswerHead leaving;
+    BackendResponseHead leaving;
     leaving.is_leaving = true;
     GIVEN("a response with the notice")
     {
@@ -304,7 +304,7 @@
         for (auto const& [what, who, amount] : steps) {
             auto const& id = ids[who % ids.size()];
             auto const span = std::chrono::milliseconds(amount * 20);
-            AnswerHead head;
+            BackendResponseHead head;
             switch (what % 8) {
             case 0:
                 host.receive(id, requesting_back_off(span));
--- a/Tests/Platform/TestRows.cpp
+++ b/Tests/Platform/TestRows.cpp
@@ -281,7 +281,7 @@
 namespace {
 
 /// All that is decoded of an answer's head.
-std::string described(Serving::AnswerHead const& answer)
+std::string described(Serving::BackendResponseHead const& answer)
 {
     std::ostringstream text;
     text << answer.attempt << ' ' << answer.is_not_run << answer.is_misdirected << answer.is_signed << answer.is_leaving
