--- a/Libraries/LibServing/Dialect.h
+++ b/Libraries/LibServing/Dialect.h
@@ -86,7 +86,7 @@
     T::prepare_dispatch(fields, dispatch);
     T::remove_server_notice(fields);
     {
-        T::decode_answer(response)
+        T::decode_response(response)
         } -> std::same_as<BackendResponseHead>;
     {
         T::engine_report_request(backend)
--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -133,7 +133,7 @@
         });
         Http::ExchangeObserver observer {
             [notice](Http::ResponseHead const& head) {
-                *notice = D::decode_answer(head);
+                *notice = D::decode_response(head);
                 return Http::HeadVerdict::Take;
             },
             [body](std::string_view piece) { *body += piece; },
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -156,7 +156,7 @@
         Http::ExchangeObserver observer {
             [self](Http::ResponseHead const& head) {
                 self->answer_status = head.result_int();
-                apply_server_notice(self->context, *self->inputs.source, D::decode_answer(head));
+                apply_server_notice(self->context, *self->inputs.source, D::decode_response(head));
                 return Http::HeadVerdict::Take;
             },
             [self](std::string_view piece) { self->answer_body += piece; },
@@ -331,7 +331,7 @@
         auto connection_to_source = this->context.connections.make_new(this->inputs.source->endpoint);
         Http::ExchangeObserver observer {
             [&context = this->context, source = this->inputs.source](Http::ResponseHead const& head) {
-                apply_server_notice(context, *source, D::decode_answer(head));
+                apply_server_notice(context, *source, D::decode_response(head));
                 return Http::HeadVerdict::Take;
             },
             [](std::string_view) {},
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -125,7 +125,7 @@
     template<typename D>
     [[nodiscard]] bool take_head(Backend& backend, Http::ResponseHead const& head)
     {
-        auto decoded = D::decode_answer(head);
+        auto decoded = D::decode_response(head);
         apply_server_notice(this->context, backend, decoded);
         if (!decoded.attempt.empty() && decoded.attempt != this->attempt())
             return false;
--- a/Tests/Platform/TestRows.cpp
+++ b/Tests/Platform/TestRows.cpp
@@ -208,7 +208,7 @@
     auto limit_in = [](std::string const& text) {
         Http::ResponseHead head;
         head.set("Server-Limit", text);
-        return Adapter::Dialect::decode_answer(head).limit;
+        return Adapter::Dialect::decode_response(head).limit;
     };
     CHECK(limit_in("2.8") == Serving::RequestRate(2.8));
     CHECK(limit_in("50") == Serving::RequestRate(50));
@@ -217,7 +217,7 @@
         INFO(text);
         CHECK(!limit_in(text));
     }
-    CHECK(!Adapter::Dialect::decode_answer({}).limit);
+    CHECK(!Adapter::Dialect::decode_response({}).limit);
 }
 
 SCENARIO("the back-off that a refusal asks for is read, or is none")
@@ -227,7 +227,7 @@
         head.result(status);
         for (auto const& value : values)
             head.insert("Retry-After", value);
-        return Adapter::Dialect::decode_answer(head).back_off_for;
+        return Adapter::Dialect::decode_response(head).back_off_for;
     };
     auto const refused = Http::Status::service_unavailable;
     CHECK(asked(refused, { "3" }) == Duration(3s));
@@ -255,7 +255,7 @@
         CHECK(!asked(Http::Status::ok, { "3" }));
         CHECK(!asked(Http::Status::internal_server_error, { "3" }));
     }
-    CHECK(!Adapter::Dialect::decode_answer({}).back_off_for);
+    CHECK(!Adapter::Dialect::decode_response({}).back_off_for);
 }
 
 SCENARIO("that a backend server leaves is read in answers of any status")
@@ -265,7 +265,7 @@
         head.result(status);
         for (auto const& value : values)
             head.insert("Server-Leaving", value);
-        return Adapter::Dialect::decode_answer(head).is_leaving;
+        return Adapter::Dialect::decode_response(head).is_leaving;
     };
     for (auto status : { Http::Status::ok, Http::Status::service_unavailable, Http::Status::internal_server_error }) {
         CHECK(leaves(status, { "1" }));
@@ -319,8 +319,8 @@
         REQUIRE(samples.contains(name));
         Http::ResponseHead head;
         head.result(Http::Status::service_unavailable);
-        auto const without = described(Adapter::Dialect::decode_answer(head));
+        auto const without = described(Adapter::Dialect::decode_response(head));
         head.set(name, samples.at(name));
-        CHECK((described(Adapter::Dialect::decode_answer(head)) != without) == is_read);
+        CHECK((described(Adapter::Dialect::decode_response(head)) != without) == is_read);
     }
 }
