--- a/Libraries/LibServing/ErrorResponse.cpp
+++ b/Libraries/LibServing/ErrorResponse.cpp
@@ -41,7 +41,7 @@
     return text.str();
 }
 
-Http::Response error_answer(Error const& error, Conclusion conclusion)
+Http::Response error_response(Error const& error, Conclusion conclusion)
 {
     Http::Response response(status_for(error, conclusion), Http::http_1_1);
     response.set(Http::Name::content_type, "application/json");
--- a/Libraries/LibServing/ErrorResponse.h
+++ b/Libraries/LibServing/ErrorResponse.h
@@ -25,6 +25,6 @@
 Http::Status status_for(Error const&, Conclusion);
 
 /// An answer that the system gives itself. The body names the error's kind and the remedy; Retry-After is in seconds.
-Http::Response error_answer(Error const&, Conclusion);
+Http::Response error_response(Error const&, Conclusion);
 
 }
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -111,7 +111,7 @@
             .with("organisation", this->call.organisation)
             .with("held_ms", this->held_for())
             .with("reason", error.message);
-        this->exchange().answer(error_answer(error, conclusion));
+        this->exchange().answer(error_response(error, conclusion));
     }
 
     /// To be called before each dispatch: what comes from now on answers that one.
--- a/Libraries/LibServing/RequestHandler.h
+++ b/Libraries/LibServing/RequestHandler.h
@@ -124,7 +124,7 @@
             .with("status", status)
             .with("revision", this->context.routing ? this->context.routing->revision() : Revision(0))
             .with("reason", error.message);
-        exchange.answer(error_answer(error, conclusion));
+        exchange.answer(error_response(error, conclusion));
     }
 
     ServingContext& context;
