--- a/Libraries/LibServing/ErrorResponse.cpp
+++ b/Libraries/LibServing/ErrorResponse.cpp
@@ -12,12 +12,12 @@
 
 namespace Serving {
 
-Http::Status status_for(Error const& error, RequestOutcome conclusion)
+Http::Status status_for(Error const& error, RequestOutcome outcome)
 {
     using Http::Status;
-    if (conclusion == RequestOutcome::NotRun)
+    if (outcome == RequestOutcome::NotRun)
         return error.kind == ErrorKind::OverLimit ? Status::too_many_requests : Status::service_unavailable;
-    if (conclusion == RequestOutcome::MayHaveRun)
+    if (outcome == RequestOutcome::MayHaveRun)
         return error.kind == ErrorKind::DeadlineUnreachable ? Status::gateway_timeout : Status::bad_gateway;
     switch (error.kind) {
     case ErrorKind::Unauthenticated:
@@ -41,15 +41,15 @@
     return text.str();
 }
 
-Http::Response error_response(Error const& error, RequestOutcome conclusion)
+Http::Response error_response(Error const& error, RequestOutcome outcome)
 {
-    Http::Response response(status_for(error, conclusion), Http::http_1_1);
+    Http::Response response(status_for(error, outcome), Http::http_1_1);
     response.set(Http::Name::content_type, "application/json");
     if (error.retry_after)
         response.set(Http::Name::retry_after, seconds_text(*error.retry_after));
     boost::json::value const body { { "error",
         { { "type", AK::to_string(error.kind) }, { "message", error.message },
-            { "may_have_run", conclusion == RequestOutcome::MayHaveRun } } } };
+            { "may_have_run", outcome == RequestOutcome::MayHaveRun } } } };
     response.body() = boost::json::serialize(body);
     return response;
 }
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -101,9 +101,9 @@
     }
 
     /// ErrorResponse in place of a backend server, and says so in the log.
-    void answer_error(Error const& error, RequestOutcome conclusion)
+    void answer_error(Error const& error, RequestOutcome outcome)
     {
-        auto status = status_for(error, conclusion);
+        auto status = status_for(error, outcome);
         this->context.metrics.add("answers_own_total{status=\"" + std::to_string(static_cast<int>(status)) + "\"}");
         this->context.log.event(Core::EventNumber::RequestRefused, this->attempt())
             .with("status", static_cast<int>(status))
@@ -111,7 +111,7 @@
             .with("organisation", this->call.organisation)
             .with("held_ms", this->held_for())
             .with("reason", error.message);
-        this->exchange().answer(error_response(error, conclusion));
+        this->exchange().answer(error_response(error, outcome));
     }
 
     /// To be called before each dispatch: what comes from now on answers that one.
--- a/Libraries/LibServing/RequestHandler.h
+++ b/Libraries/LibServing/RequestHandler.h
@@ -117,14 +117,14 @@
 
     void refuse(Http::Exchange& exchange, Error const& error)
     {
-        auto conclusion = conclusion_of(error.kind);
-        auto status = static_cast<int>(status_for(error, conclusion));
+        auto outcome = conclusion_of(error.kind);
+        auto status = static_cast<int>(status_for(error, outcome));
         this->context.metrics.add("answers_own_total{status=\"" + std::to_string(status) + "\"}");
         this->context.log.event(Core::EventNumber::RequestRefused, D::decode_call(exchange.request()).attempt)
             .with("status", status)
             .with("revision", this->context.routing ? this->context.routing->revision() : Revision(0))
             .with("reason", error.message);
-        exchange.answer(error_response(error, conclusion));
+        exchange.answer(error_response(error, outcome));
     }
 
     ServingContext& context;
