--- a/Libraries/LibServing/RequestHandler.h
+++ b/Libraries/LibServing/RequestHandler.h
@@ -103,7 +103,7 @@
         return success();
     }
 
-    static RequestOutcome conclusion_of(ErrorKind kind)
+    static RequestOutcome outcome_of(ErrorKind kind)
     {
         switch (kind) {
         case ErrorKind::NotReady:
@@ -117,7 +117,7 @@
 
     void refuse(Http::Exchange& exchange, Error const& error)
     {
-        auto outcome = conclusion_of(error.kind);
+        auto outcome = outcome_of(error.kind);
         auto status = static_cast<int>(status_for(error, outcome));
         this->context.metrics.add("answers_own_total{status=\"" + std::to_string(status) + "\"}");
         this->context.log.event(Core::EventNumber::RequestRefused, D::decode_call(exchange.request()).attempt)
