--- a/Libraries/LibServing/Dialect.h
+++ b/Libraries/LibServing/Dialect.h
@@ -18,7 +18,7 @@
     ModelId model;
     TokenCount prompt;
     /// The most that may come out.
-    TokenCount most_output;
+    TokenCount max_output;
     /// The caller's guess of what will come out: right in the median, often far off.
     std::optional<TokenCount> guessed_output;
 };
