--- a/Libraries/LibServing/Dialect.h
+++ b/Libraries/LibServing/Dialect.h
@@ -20,7 +20,7 @@
     /// The most that may come out.
     TokenCount max_output;
     /// The caller's guess of what will come out: right in the median, often far off.
-    std::optional<TokenCount> guessed_output;
+    std::optional<TokenCount> estimated_output;
 };
 
 /// What a caller's head says, apart from what HTTP itself says.
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -41,7 +41,7 @@
     [[nodiscard]] GenerationNeed need() const
     {
         auto most = this->demand().max_output;
-        auto expected = this->demand().guessed_output.value_or(TokenCount(most.value() / 2));
+        auto expected = this->demand().estimated_output.value_or(TokenCount(most.value() / 2));
         return { this->demand().prompt, std::min(most, expected) };
     }
 
--- a/Meta/ablate.py
+++ b/Meta/ablate.py
@@ -29,7 +29,7 @@
     "reports": ("engines' reports of their memory are not used for placing", [
         (SERVING + "BackendChooser.cpp", "if (!engine.report ||", "if (true || !engine.report ||")]),
     "length-hints": ("callers' guesses of the length are not used", [
-        (SERVING + "Generation.h", "this->demand().guessed_output.value_or(TokenCount(most.value() / 2))",
+        (SERVING + "Generation.h", "this->demand().estimated_output.value_or(TokenCount(most.value() / 2))",
          "TokenCount(most.value() / 2)")]),
     "unread-prompts": ("prompts that wait to be read cost nothing", [
         (SERVING + "BackendChooser.cpp", "static_cast<double>(backend.engine.unread_tokens()) / unread_tokens_scale",
