--- a/Libraries/LibServing/Dialect.h
+++ b/Libraries/LibServing/Dialect.h
@@ -27,7 +27,7 @@
 struct CallHead {
     /// Names the caller's attempt; a further attempt has another one.
     std::string attempt;
-    std::optional<Duration> patience;
+    std::optional<Duration> timeout;
     std::string key;
     std::optional<GenerationDemand> demand;
 };
--- a/Libraries/LibServing/RequestHandler.h
+++ b/Libraries/LibServing/RequestHandler.h
@@ -83,7 +83,7 @@
         if (this->context.leaving && call.route->kind == CallKind::Generation)
             return Error { ErrorKind::Leaving, "this host is leaving; send the request again on a new connection",
                 leaving_retry_after };
-        auto patience = std::min(call.route->timeout, call.head.patience.value_or(call.route->timeout));
+        auto patience = std::min(call.route->timeout, call.head.timeout.value_or(call.route->timeout));
         call.deadline = exchange->received_at() + patience;
         return call;
     }
