--- a/Libraries/LibServing/Configuration.h
+++ b/Libraries/LibServing/Configuration.h
@@ -47,7 +47,7 @@
     u32 priority { 5 };
     std::vector<WeightedService> services;
     /// Backend servers that one attempt of a caller may run on.
-    u32 most_dispatches { 1 };
+    u32 max_dispatches { 1 };
     bool is_public { false };
     bool is_resumable { false };
 };
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -160,7 +160,7 @@
 
     [[nodiscard]] bool may_run_again() const
     {
-        return this->call.route->kind == CallKind::Repeatable && this->runs() < this->call.route->most_dispatches;
+        return this->call.route->kind == CallKind::Repeatable && this->runs() < this->call.route->max_dispatches;
     }
 
     /// Handovers after which the request may have run.
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -291,7 +291,7 @@
     Libraries/LibServing/ServerNotice.cpp "record_leaving(context, backend);" ""
 
 soak_guard "once only" Libraries/LibServing/ServiceCall.h \
-    "this->call.route->kind == CallKind::Repeatable && this->runs() < this->call.route->most_dispatches" "true"
+    "this->call.route->kind == CallKind::Repeatable && this->runs() < this->call.route->max_dispatches" "true"
 soak_guard "a refusal is true" Libraries/LibServing/ServiceCall.h \
     "this->may_have_run = this->may_have_run || !has_not_run;" ""
 soak_guard "a signed success" Libraries/LibServing/ServiceCall.h "this->is_success() && !this->answer.is_signed" "false"
