--- a/Libraries/LibServing/Configuration.h
+++ b/Libraries/LibServing/Configuration.h
@@ -68,7 +68,7 @@
 struct Service {
     ServiceName name;
     /// Connections that one backend server takes from all hosts together.
-    u32 most_connections { 64 };
+    u32 max_connections { 64 };
     /// What one backend server bears while it is cold, from all hosts together; 0 where no bound is configured.
     double cold_requests_per_second { 0 };
     std::optional<EngineTraits> engine;
