--- a/Libraries/LibServing/Configuration.h
+++ b/Libraries/LibServing/Configuration.h
@@ -42,7 +42,7 @@
     /// The time to the answer, or to the first event of a stream, that the operator aims at.
     Duration latency_goal { 1s };
     /// The longest pause between events that the operator aims at.
-    Duration pause_goal { 180ms };
+    Duration event_gap_goal { 180ms };
     /// 0 is the most urgent.
     u32 priority { 5 };
     std::vector<WeightedService> services;
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -482,7 +482,7 @@
             .with("organisation", this->call.organisation)
             .with("events", this->order.count())
             .with("longest_gap_ms", this->longest_gap)
-            .with("pause_goal_ms", this->call.route->pause_goal)
+            .with("pause_goal_ms", this->call.route->event_gap_goal)
             .with("held_ms", this->held_for());
     }
 
