--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -407,7 +407,7 @@
         this->settings.stop_grace = read.value().stop_grace;
         this->settings.drain_time = read.value().drain_time;
         this->settings.list_recovery_time = read.value().list_recovery_time;
-        this->settings.longest_back_off = read.value().longest_back_off;
+        this->settings.max_back_off = read.value().max_back_off;
         this->context.budget.set_limits(read.value().retry_budget);
         this->log.event(Core::EventNumber::SettingsReloaded, this->settings.host.value());
     }
--- a/Libraries/LibServing/HostSettings.cpp
+++ b/Libraries/LibServing/HostSettings.cpp
@@ -39,7 +39,7 @@
     settings.stop_grace = reader.duration_or("host.stop_grace", settings.stop_grace);
     settings.drain_time = reader.duration_or("backends.drain_time", settings.drain_time);
     settings.list_recovery_time = reader.duration_or("backends.list_recovery_time", settings.list_recovery_time);
-    settings.longest_back_off = reader.duration_or("backends.longest_back_off", settings.longest_back_off);
+    settings.max_back_off = reader.duration_or("backends.longest_back_off", settings.max_back_off);
     settings.follower.wait = reader.duration_or("platform.wait", settings.follower.wait);
     settings.follower.response_timeout
         = reader.duration_or("platform.answer_patience", settings.follower.response_timeout);
--- a/Libraries/LibServing/HostSettings.h
+++ b/Libraries/LibServing/HostSettings.h
@@ -30,7 +30,7 @@
     /// How long a backend server goes on after it has said that it leaves.
     Duration drain_time { 2s };
     /// The longest time for which a backend server can ask this host to send it nothing.
-    Duration longest_back_off { 1h };
+    Duration max_back_off { 1h };
     RetryBudget::Limits retry_budget {};
     /// Reclaimed engines leave in groups, whose changes the pause puts into one call; it is a thirtieth of the shortest
     /// notice. News reach a domain of 59 hosts in some 10 ms, so that what has not come after the patience is lost.
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -14,7 +14,7 @@
 
 static void back_off(ServingContext& context, Backend& backend, Duration requested)
 {
-    auto const until = context.now() + std::min(requested, context.settings.longest_back_off);
+    auto const until = context.now() + std::min(requested, context.settings.max_back_off);
     if (until <= backend.back_off_until)
         return;
     bool const is_logged = until - backend.back_off_until >= min_logged_extension;
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -147,7 +147,7 @@
     }
     GIVEN("a server that has requested a longer back-off than the settings of the host allow")
     {
-        host.settings.longest_back_off = 2s;
+        host.settings.max_back_off = 2s;
         host.receive("a", requesting_back_off(10h));
         host.advance(2s);
         THEN("it gets work after the longest allowed back-off") { CHECK(host.any_server_gets_work()); }
