--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -234,7 +234,7 @@
 
 void PeerLink::schedule_digest()
 {
-    this->context.far_belief_age = this->domain_change_delay();
+    this->context.remote_estimate_age = this->domain_change_delay();
     auto const place = std::min(this->own_place_among_speakers(), Reach::speakers_of_domain - 1);
     auto const period = static_cast<i64>(1 + place) * digest_period;
     this->digest_timer.expires_after(period);
--- a/Libraries/LibServing/ServingContext.h
+++ b/Libraries/LibServing/ServingContext.h
@@ -51,7 +51,7 @@
     /// Whether this host knows what was held back before it started.
     bool knows_quarantine { false };
     /// How old what is believed of other domains may be while their hosts are heard.
-    Duration far_belief_age { 0 };
+    Duration remote_estimate_age { 0 };
     boost::random::mt19937 random;
     /// Null until a configuration is known.
     std::shared_ptr<RoutingTable const> routing;
@@ -83,7 +83,7 @@
         auto now = this->now();
         auto const& own_domain = this->settings.failure_domain;
         return { own_domain, this->reach.silent_domains(now), now, other_domain_cost, {}, own_domain,
-            this->placements.estimate_unseen(now, this->reach.hosts_heard_near(now) + 1, this->far_belief_age),
+            this->placements.estimate_unseen(now, this->reach.hosts_heard_near(now) + 1, this->remote_estimate_age),
             &this->server_limits };
     }
 };
