--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -177,7 +177,7 @@
         if (!is_from(backend, report.value())) {
             // An earlier process cannot have the address again.
             if (backend.server.start < *report.value().start)
-                this->context.backend_ended(backend);
+                this->context.backend_terminated(backend);
             return;
         }
         backend.engine.report = report.value();
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -91,7 +91,7 @@
         this->configuration_follower.start();
         this->backend_follower.start();
         this->reporter.start();
-        this->context.backend_ended = [this](Backend const& backend) {
+        this->context.backend_terminated = [this](Backend const& backend) {
             auto const server = backend.server;
             if (backend.has_ended)
                 return;
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -226,7 +226,7 @@
     void refused_by(Backend& backend)
     {
         if (this->answer.is_misdirected)
-            return this->context.backend_ended(backend);
+            return this->context.backend_terminated(backend);
         record_refusal(this->context, backend, this->attempt(), "status " + std::to_string(this->answer_status()));
     }
 
--- a/Libraries/LibServing/ServingContext.h
+++ b/Libraries/LibServing/ServingContext.h
@@ -65,7 +65,7 @@
     /// To be called when a backend server says in an answer that it leaves.
     std::function<void(Backend const&)> backend_leaves { [](Backend const&) {} };
     /// To be called when another process has answered in place of a backend server.
-    std::function<void(Backend const&)> backend_ended { [](Backend const&) {} };
+    std::function<void(Backend const&)> backend_terminated { [](Backend const&) {} };
 
     /// To be called when a backend server has named another limit, or none any more.
     std::function<void(Backend const&)> limit_changed { [](Backend const&) {} };
