--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -110,7 +110,7 @@
     }
 
     /// What is believed of an engine's load; nothing for one that is not known.
-    [[nodiscard]] EngineLoad believed_use_of(EngineId const& id) const
+    [[nodiscard]] EngineLoad estimated_load_of(EngineId const& id) const
     {
         auto backend = this->context.backends.find(id);
         return backend ? backend->engine : EngineLoad {};
--- a/Tests/Platform/TestBeliefs.cpp
+++ b/Tests/Platform/TestBeliefs.cpp
@@ -102,10 +102,10 @@
 
     auto call = first.call(HostFixture::generation("g9"));
     first.until([&] { return engine.running_count() == 1; });
-    first.until([&] { return second.believed_use_of(EngineId("engine-1")).peer_generations == 1; });
-    CHECK(second.believed_use_of(EngineId("engine-1")).peer_tokens >= 1460);
+    first.until([&] { return second.estimated_load_of(EngineId("engine-1")).peer_generations == 1; });
+    CHECK(second.estimated_load_of(EngineId("engine-1")).peer_tokens >= 1460);
     engine.finish_all();
-    first.until([&] { return second.believed_use_of(EngineId("engine-1")).peer_generations == 0; });
+    first.until([&] { return second.estimated_load_of(EngineId("engine-1")).peer_generations == 0; });
 }
 
 SCENARIO("the operator's order that a failure domain gets nothing is obeyed")
