--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -150,7 +150,7 @@
             },
         };
         connection->exchange(
-            D::engine_report_request(*backend), std::move(observer), connect_patience, backend_silence_limit);
+            D::engine_report_request(*backend), std::move(observer), connect_timeout, backend_silence_limit);
     }
 
     /// Another process may have the address, under this id or another one.
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -116,7 +116,7 @@
         DispatchHead const head { target->server.id, this->call.organisation, this->time_left(),
             std::move(continuation), {} };
         this->connection->exchange(
-            this->template make_dispatch<D>(head), this->make_observer(), connect_patience, generation_silence_limit);
+            this->template make_dispatch<D>(head), this->make_observer(), connect_timeout, generation_silence_limit);
     }
 
     Http::ExchangeObserver make_observer()
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -166,7 +166,7 @@
             },
         };
         this->connection->exchange(D::copy_request(*this->inputs.source, *this->chosen, this->inputs.attempt, is_last),
-            std::move(observer), connect_patience, backend_silence_limit);
+            std::move(observer), connect_timeout, backend_silence_limit);
     }
 
     void copy_answered(bool is_last, Http::ExchangeEnd end, std::string const& reason)
@@ -339,7 +339,7 @@
             [](Http::ExchangeEnd, std::string const&) {},
         };
         connection_to_source->exchange(D::drop_copy_request(*this->inputs.source, this->copy->handle),
-            std::move(observer), connect_patience, backend_silence_limit);
+            std::move(observer), connect_timeout, backend_silence_limit);
     }
 
     void drop_connection()
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -267,7 +267,7 @@
 inline constexpr u32 most_handovers = 4;
 
 /// How long a connection to a backend server may take to come up. In a failure domain it takes a millisecond.
-inline constexpr Duration connect_patience = 400ms;
+inline constexpr Duration connect_timeout = 400ms;
 /// A backend server whose host has acknowledged nothing for this long is cut off or has no power.
 inline constexpr Duration backend_silence_limit = 3s;
 /// The same for a generation, which goes on by itself once a partition is over: nothing is gained by ending it earlier,
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -63,7 +63,7 @@
     /// A caller that waits for half of its goal can still be served in time by another backend server.
     [[nodiscard]] Duration patience_to_connect() const
     {
-        return std::clamp<Duration>(this->call.route->latency_goal / 2, shortest_connect_patience, connect_patience);
+        return std::clamp<Duration>(this->call.route->latency_goal / 2, shortest_connect_patience, connect_timeout);
     }
 
     void log_dispatch()
