--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -264,7 +264,7 @@
 inline constexpr std::string_view replaced_reason = "another process has taken its place";
 
 /// Handovers that failed before anything was run do not count as runs, but there must be an end to them.
-inline constexpr u32 most_handovers = 4;
+inline constexpr u32 max_dispatch_attempts = 4;
 
 /// How long a connection to a backend server may take to come up. In a failure domain it takes a millisecond.
 inline constexpr Duration connect_timeout = 400ms;
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -173,7 +173,7 @@
         bool const last_was_not_run = reached_nobody || (this->answer_head && this->answer_says_not_run());
         if (last_was_not_run)
             ++this->handovers_not_run;
-        bool const allowed = last_was_not_run ? this->handovers < most_handovers : this->may_run_again();
+        bool const allowed = last_was_not_run ? this->handovers < max_dispatch_attempts : this->may_run_again();
         if (allowed && (reached_nobody || this->take_budget()))
             return this->retry(reason);
         this->give_up(reason);
