--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -278,7 +278,7 @@
             .with("reason", reason);
         this->claim.reset();
         this->context.use_changed();
-        bool const may_try = this->tried.size() < max_dispatch_attempts && (is_free || this->take_budget());
+        bool const may_try = this->tried.size() < max_dispatch_attempts && (is_free || this->consume_retry_budget());
         if (may_try)
             return this->place();
         this->refuse(reason, default_retry_after);
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -72,7 +72,7 @@
     /// How long the request has been here.
     [[nodiscard]] Duration held_for() const { return this->context.now() - this->exchange().received_at(); }
     /// Takes one further dispatch out of the service's budget; false when there is none left.
-    [[nodiscard]] bool take_budget()
+    [[nodiscard]] bool consume_retry_budget()
     {
         auto const& service = this->call.service->name;
         auto const decision = this->context.budget.take(service, this->context.now());
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -138,7 +138,7 @@
         auto reason = "status " + std::to_string(this->answer_status());
         this->suspect(used, false, reason);
         this->may_have_run = true;
-        if (this->may_run_again() && this->take_budget())
+        if (this->may_run_again() && this->consume_retry_budget())
             return this->retry(reason);
         this->pass_on();
     }
@@ -174,7 +174,7 @@
         if (last_was_not_run)
             ++this->handovers_not_run;
         bool const allowed = last_was_not_run ? this->handovers < max_dispatch_attempts : this->may_run_again();
-        if (allowed && (reached_nobody || this->take_budget()))
+        if (allowed && (reached_nobody || this->consume_retry_budget()))
             return this->retry(reason);
         this->give_up(reason);
     }
