--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -131,7 +131,7 @@
 
     Http::HeadVerdict head_arrived(Http::ResponseHead const& head)
     {
-        if (!this->template take_head<D>(*this->backend, head))
+        if (!this->template accept_response_head<D>(*this->backend, head))
             return Http::HeadVerdict::Skip;
         this->answer_is_framed
             = head.count(Http::Name::transfer_encoding) > 0 || head.count(Http::Name::content_length) > 0;
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -123,7 +123,7 @@
 
     /// Takes in the head of `backend`'s answer; false when it belongs to an earlier request.
     template<typename D>
-    [[nodiscard]] bool take_head(Backend& backend, Http::ResponseHead const& head)
+    [[nodiscard]] bool accept_response_head(Backend& backend, Http::ResponseHead const& head)
     {
         auto decoded = D::decode_response(head);
         apply_server_notice(this->context, backend, decoded);
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -91,7 +91,8 @@
 
     Http::HeadVerdict head_arrived(Http::ResponseHead const& head)
     {
-        return this->template take_head<D>(*this->backend, head) ? Http::HeadVerdict::Take : Http::HeadVerdict::Skip;
+        return this->template accept_response_head<D>(*this->backend, head) ? Http::HeadVerdict::Take
+                                                                            : Http::HeadVerdict::Skip;
     }
 
     void exchange_ended(Http::ExchangeEnd end, std::string const& reason)
