--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -254,19 +254,19 @@
             return this->continuation_refused();
         if (this->answer_says_not_run()) {
             this->refused_by(*this->backend);
-            return this->place_again("status " + std::to_string(this->answer_status()), false);
+            return this->place_again("status " + std::to_string(this->response_status()), false);
         }
         this->survived();
         if (this->is_server_error())
-            this->suspect(*this->backend, false, "status " + std::to_string(this->answer_status()));
+            this->suspect(*this->backend, false, "status " + std::to_string(this->response_status()));
         this->finish();
-        if (this->answer_status() < first_redirection)
+        if (this->response_status() < first_redirection)
             return this->answer_error({ ErrorKind::BackendServerFailed,
                                           "the engine's answer carries no signature; the generation may have run", {} },
                 RequestOutcome::MayHaveRun);
         this->context.log.event(Core::EventNumber::StreamEnded, this->attempt())
             .with("engine", this->backend->server.id)
-            .with("status", this->answer_status());
+            .with("status", this->response_status());
         this->exchange().answer(this->template make_relayed_answer<D>());
     }
 
@@ -435,7 +435,7 @@
             this->refused_by(*this->backend);
             return this->continue_once_wanted(this->backend, { this->move->copy_name(), this->order.last() });
         }
-        this->lose("the engine that holds its copy answered status " + std::to_string(this->answer_status()));
+        this->lose("the engine that holds its copy answered status " + std::to_string(this->response_status()));
     }
 
     // --- ends
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -149,13 +149,13 @@
     void ask_for_copy(bool is_last)
     {
         this->asked_at = this->context.now();
-        this->answer_status = 0;
+        this->response_status = 0;
         this->answer_body.clear();
         this->connection = this->context.connections.make_new(this->inputs.source->endpoint);
         auto self = this->shared_from_this();
         Http::ExchangeObserver observer {
             [self](Http::ResponseHead const& head) {
-                self->answer_status = head.result_int();
+                self->response_status = head.result_int();
                 apply_server_notice(self->context, *self->inputs.source, D::decode_response(head));
                 return Http::HeadVerdict::Take;
             },
@@ -173,7 +173,7 @@
     {
         if (end != Http::ExchangeEnd::Complete)
             return this->fail(Http::describe(end, reason));
-        auto const status = static_cast<Http::Status>(this->answer_status);
+        auto const status = static_cast<Http::Status>(this->response_status);
         if (status == Http::Status::not_found)
             return this->run_has_ended();
         if (status == Http::Status::conflict)
@@ -182,7 +182,7 @@
         if (decoded)
             this->copy = decoded.value();
         if (status != Http::Status::ok)
-            return this->copy_refused(is_last, "status " + std::to_string(this->answer_status) + " for a copy");
+            return this->copy_refused(is_last, "status " + std::to_string(this->response_status) + " for a copy");
         if (!decoded)
             return this->copy_refused(is_last, "an answer to a copy: " + decoded.error().message);
         this->copy_made(is_last);
@@ -362,7 +362,7 @@
     std::vector<EngineId> tried;
     std::optional<TokenClaim> reservation;
     std::shared_ptr<Http::BackendConnection> connection;
-    unsigned answer_status { 0 };
+    unsigned response_status { 0 };
     std::string answer_body;
     std::optional<MemoryCopy> copy;
     bool is_settled { false };
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -139,10 +139,10 @@
     }
 
     /// Of the answer whose head has come; the same holds for those below.
-    [[nodiscard]] unsigned answer_status() const { return this->answer_head->result_int(); }
+    [[nodiscard]] unsigned response_status() const { return this->answer_head->result_int(); }
     [[nodiscard]] bool is_success() const
     {
-        return this->answer_status() >= first_success && this->answer_status() < first_redirection;
+        return this->response_status() >= first_success && this->response_status() < first_redirection;
     }
     /// To be called with each dispatch: `on_end` is called when its backend server's process is known to have ended and
     /// the dispatch was to that one. One that was just sent may be with the process that took its place, which refuses
@@ -157,7 +157,7 @@
 
     /// The backend server itself says that it has not run the request and will not.
     [[nodiscard]] bool answer_says_not_run() const { return this->answer.is_not_run || this->answer.is_misdirected; }
-    [[nodiscard]] bool is_server_error() const { return this->answer_status() >= first_server_error; }
+    [[nodiscard]] bool is_server_error() const { return this->response_status() >= first_server_error; }
 
     /// Takes out what concerns this host and the backend server only.
     template<typename D>
@@ -227,7 +227,7 @@
     {
         if (this->answer.is_misdirected)
             return this->context.backend_terminated(backend);
-        record_refusal(this->context, backend, this->attempt(), "status " + std::to_string(this->answer_status()));
+        record_refusal(this->context, backend, this->attempt(), "status " + std::to_string(this->response_status()));
     }
 
     /// Keeps what the backend server says of its load, if it says anything.
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -136,7 +136,7 @@
             note_success(used);
             return this->pass_on();
         }
-        auto reason = "status " + std::to_string(this->answer_status());
+        auto reason = "status " + std::to_string(this->response_status());
         this->suspect(used, false, reason);
         this->may_have_run = true;
         if (this->may_run_again() && this->consume_retry_budget())
