--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -117,7 +117,7 @@
     /// To be called before each dispatch: what comes from now on answers that one.
     void forget_answer()
     {
-        this->answer_head.reset();
+        this->response_head.reset();
         this->answer_body.clear();
     }
 
@@ -129,7 +129,7 @@
         apply_server_notice(this->context, backend, decoded);
         if (!decoded.attempt.empty() && decoded.attempt != this->attempt())
             return false;
-        this->answer_head = head;
+        this->response_head = head;
         this->answer = decoded;
         this->note_load(backend, decoded);
         // Another process's answer says nothing of this one.
@@ -139,7 +139,7 @@
     }
 
     /// Of the answer whose head has come; the same holds for those below.
-    [[nodiscard]] unsigned response_status() const { return this->answer_head->result_int(); }
+    [[nodiscard]] unsigned response_status() const { return this->response_head->result_int(); }
     [[nodiscard]] bool is_success() const
     {
         return this->response_status() >= first_success && this->response_status() < first_redirection;
@@ -150,7 +150,7 @@
     void watch_end(Backend& backend, std::function<void()> on_end)
     {
         this->end_watch = backend.observe_end([this, sent_at = this->context.now(), on_end = std::move(on_end)] {
-            if (this->answer_head || this->context.now() - sent_at >= longest_refusal)
+            if (this->response_head || this->context.now() - sent_at >= longest_refusal)
                 on_end();
         });
     }
@@ -172,7 +172,7 @@
     [[nodiscard]] Http::Response make_relayed_answer()
     {
         Http::Response response;
-        response.base() = *this->answer_head;
+        response.base() = *this->response_head;
         remove_hop_fields<D>(response);
         response.body() = std::move(this->answer_body);
         return response;
@@ -253,7 +253,7 @@
     AdmittedCall call;
     AK::Timer deadline_timer;
     /// Of the dispatch under way or the last one; empty until its head has come.
-    std::optional<Http::ResponseHead> answer_head;
+    std::optional<Http::ResponseHead> response_head;
     BackendResponseHead answer;
     /// A whole answer, so far. Streams pass it by.
     std::string answer_body;
