--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -160,7 +160,7 @@
     void body_arrived(std::string_view piece)
     {
         if (!this->is_relayed_answer()) {
-            this->answer_body += piece;
+            this->response_body += piece;
             return;
         }
         for (auto const& event : this->reader.feed(piece)) {
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -150,7 +150,7 @@
     {
         this->asked_at = this->context.now();
         this->response_status = 0;
-        this->answer_body.clear();
+        this->response_body.clear();
         this->connection = this->context.connections.make_new(this->inputs.source->endpoint);
         auto self = this->shared_from_this();
         Http::ExchangeObserver observer {
@@ -159,7 +159,7 @@
                 apply_server_notice(self->context, *self->inputs.source, D::decode_response(head));
                 return Http::HeadVerdict::Take;
             },
-            [self](std::string_view piece) { self->answer_body += piece; },
+            [self](std::string_view piece) { self->response_body += piece; },
             [self, is_last](Http::ExchangeEnd end, std::string const& reason) {
                 self->connection = nullptr;
                 self->copy_answered(is_last, end, reason);
@@ -178,7 +178,7 @@
             return this->run_has_ended();
         if (status == Http::Status::conflict)
             return this->ask_again_later(is_last);
-        auto decoded = D::decode_copy(this->answer_body);
+        auto decoded = D::decode_copy(this->response_body);
         if (decoded)
             this->copy = decoded.value();
         if (status != Http::Status::ok)
@@ -363,7 +363,7 @@
     std::optional<TokenClaim> reservation;
     std::shared_ptr<Http::BackendConnection> connection;
     unsigned response_status { 0 };
-    std::string answer_body;
+    std::string response_body;
     std::optional<MemoryCopy> copy;
     bool is_settled { false };
 };
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -118,7 +118,7 @@
     void forget_answer()
     {
         this->response_head.reset();
-        this->answer_body.clear();
+        this->response_body.clear();
     }
 
     /// Takes in the head of `backend`'s answer; false when it belongs to an earlier request.
@@ -174,7 +174,7 @@
         Http::Response response;
         response.base() = *this->response_head;
         remove_hop_fields<D>(response);
-        response.body() = std::move(this->answer_body);
+        response.body() = std::move(this->response_body);
         return response;
     }
 
@@ -256,7 +256,7 @@
     std::optional<Http::ResponseHead> response_head;
     BackendResponseHead answer;
     /// A whole answer, so far. Streams pass it by.
-    std::string answer_body;
+    std::string response_body;
     bool is_over { false };
 };
 
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -85,7 +85,7 @@
     {
         auto self = this->shared_from_this();
         return { [self](Http::ResponseHead const& head) { return self->head_arrived(head); },
-            [self](std::string_view piece) { self->answer_body += piece; },
+            [self](std::string_view piece) { self->response_body += piece; },
             [self](Http::ExchangeEnd end, std::string const& reason) { self->exchange_ended(end, reason); } };
     }
 
