--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -106,7 +106,7 @@
     {
         this->backend = target;
         this->context.server_limits.record_sent(*target, this->context.now());
-        this->forget_answer();
+        this->reset_response();
         this->reader = {};
         this->connection = this->context.connections.make_new(target->endpoint);
         this->watch_end(*target, [weak = this->weak_from_this()] {
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -115,7 +115,7 @@
     }
 
     /// To be called before each dispatch: what comes from now on answers that one.
-    void forget_answer()
+    void reset_response()
     {
         this->response_head.reset();
         this->response_body.clear();
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -47,7 +47,7 @@
         ++this->handovers;
         ++this->backend->in_flight;
         this->context.server_limits.record_sent(*this->backend, this->context.now());
-        this->forget_answer();
+        this->reset_response();
         this->connection = this->context.connections.acquire(this->backend->endpoint);
         this->is_on_new_connection = this->connection->is_new();
         this->watch_end(*this->backend, [weak = this->weak_from_this()] {
