--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -49,7 +49,7 @@
     {
         if (auto left = this->held_back_for()) {
             this->finish();
-            return this->answer_held_back(*left);
+            return this->respond_quarantined(*left);
         }
         auto const& candidates = this->context.backends.of_service(this->call.service->name);
         AdmissionDemand const demand { this->need(), this->call.route->latency_goal - this->held_for() };
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -213,7 +213,7 @@
     }
 
     /// The answer to a request that is held back and has not run.
-    void answer_held_back(Duration left)
+    void respond_quarantined(Duration left)
     {
         this->context.metrics.add("requests_held_back_total");
         this->respond_with_error(
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -207,7 +207,7 @@
         if (this->may_have_run)
             return this->give_up("servers have ended under it each time");
         this->end();
-        this->answer_held_back(left);
+        this->respond_quarantined(left);
     }
 
     void no_backend()
