--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -252,7 +252,7 @@
     {
         if (this->exchange().is_streaming())
             return this->continuation_refused();
-        if (this->answer_says_not_run()) {
+        if (this->is_reported_not_run()) {
             this->refused_by(*this->backend);
             return this->place_again("status " + std::to_string(this->response_status()), false);
         }
@@ -430,7 +430,7 @@
     void continuation_refused()
     {
         bool const may_go_on_later
-            = this->answer_says_not_run() && this->backend->back_off_left(this->context.now()) > 0s;
+            = this->is_reported_not_run() && this->backend->back_off_left(this->context.now()) > 0s;
         // It is the same run that goes on, so that this is no repeat.
         if (may_go_on_later) {
             this->refused_by(*this->backend);
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -156,7 +156,7 @@
     }
 
     /// The backend server itself says that it has not run the request and will not.
-    [[nodiscard]] bool answer_says_not_run() const { return this->answer.is_not_run || this->answer.is_misdirected; }
+    [[nodiscard]] bool is_reported_not_run() const { return this->answer.is_not_run || this->answer.is_misdirected; }
     [[nodiscard]] bool is_server_error() const { return this->response_status() >= first_server_error; }
 
     /// Takes out what concerns this host and the backend server only.
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -108,7 +108,7 @@
         if (!is_unreachable)
             this->look_for_end(used, Http::describe(end, reason));
         // A head that says "not run" holds even if the rest of its answer was cut.
-        bool const has_not_run = is_unreachable || (this->response_head && this->answer_says_not_run());
+        bool const has_not_run = is_unreachable || (this->response_head && this->is_reported_not_run());
         this->may_have_run = this->may_have_run || !has_not_run;
         this->try_again(Http::describe(end, reason), is_unreachable);
     }
@@ -122,7 +122,7 @@
 
     void answer_arrived(Backend& used)
     {
-        if (this->answer_says_not_run()) {
+        if (this->is_reported_not_run()) {
             this->refused_by(used);
             return this->try_again(this->answer.is_misdirected ? "misdirected" : "not run", false);
         }
@@ -171,7 +171,7 @@
     /// made: then the next one is no further arrival at the service, and takes nothing from the budget.
     void try_again(std::string const& reason, bool reached_nobody)
     {
-        bool const last_was_not_run = reached_nobody || (this->response_head && this->answer_says_not_run());
+        bool const last_was_not_run = reached_nobody || (this->response_head && this->is_reported_not_run());
         if (last_was_not_run)
             ++this->handovers_not_run;
         bool const allowed = last_was_not_run ? this->handovers < max_dispatch_attempts : this->may_run_again();
