--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -148,7 +148,7 @@
     /// Whether the answer under way is a stream of events for the caller.
     [[nodiscard]] bool is_relayed_answer() const
     {
-        return this->is_success() && this->answer.is_signed && !this->answer.is_not_run;
+        return this->is_success() && this->decoded_response.is_signed && !this->decoded_response.is_not_run;
     }
 
     void begin_stream(Http::ResponseHead head)
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -130,7 +130,7 @@
         if (!decoded.attempt.empty() && decoded.attempt != this->attempt())
             return false;
         this->response_head = head;
-        this->answer = decoded;
+        this->decoded_response = decoded;
         this->note_load(backend, decoded);
         // Another process's answer says nothing of this one.
         if (!decoded.is_misdirected)
@@ -156,7 +156,10 @@
     }
 
     /// The backend server itself says that it has not run the request and will not.
-    [[nodiscard]] bool is_reported_not_run() const { return this->answer.is_not_run || this->answer.is_misdirected; }
+    [[nodiscard]] bool is_reported_not_run() const
+    {
+        return this->decoded_response.is_not_run || this->decoded_response.is_misdirected;
+    }
     [[nodiscard]] bool is_server_error() const { return this->response_status() >= first_server_error; }
 
     /// Takes out what concerns this host and the backend server only.
@@ -225,7 +228,7 @@
     /// `backend` has answered that it did not run this request: it is full or will not, or it is not who it was.
     void refused_by(Backend& backend)
     {
-        if (this->answer.is_misdirected)
+        if (this->decoded_response.is_misdirected)
             return this->context.backend_terminated(backend);
         record_refusal(this->context, backend, this->attempt(), "status " + std::to_string(this->response_status()));
     }
@@ -254,7 +257,7 @@
     AK::Timer deadline_timer;
     /// Of the dispatch under way or the last one; empty until its head has come.
     std::optional<Http::ResponseHead> response_head;
-    BackendResponseHead answer;
+    BackendResponseHead decoded_response;
     /// A whole answer, so far. Streams pass it by.
     std::string response_body;
     bool is_over { false };
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -124,10 +124,10 @@
     {
         if (this->is_reported_not_run()) {
             this->refused_by(used);
-            return this->try_again(this->answer.is_misdirected ? "misdirected" : "not run", false);
+            return this->try_again(this->decoded_response.is_misdirected ? "misdirected" : "not run", false);
         }
         this->survived();
-        if (this->is_success() && !this->answer.is_signed) {
+        if (this->is_success() && !this->decoded_response.is_signed) {
             this->suspect(used, false, "unsigned");
             this->may_have_run = true;
             return this->try_again("its success carries no signature", false);
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -294,7 +294,7 @@
     "this->call.route->kind == CallKind::Repeatable && this->runs() < this->call.route->max_dispatches" "true"
 soak_guard "a refusal is true" Libraries/LibServing/ServiceCall.h \
     "this->may_have_run = this->may_have_run || !has_not_run;" ""
-soak_guard "a signed success" Libraries/LibServing/ServiceCall.h "this->is_success() && !this->answer.is_signed" "false"
+soak_guard "a signed success" Libraries/LibServing/ServiceCall.h "this->is_success() && !this->decoded_response.is_signed" "false"
 soak_guard "a cut stream does not look whole" Libraries/LibServing/Generation.h \
     "this->abandon();
         this->exchange().abort();" "this->abandon(); this->exchange().end_stream();"
