--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -268,7 +268,7 @@
         this->context.log.event(Core::EventNumber::StreamEnded, this->attempt())
             .with("engine", this->backend->server.id)
             .with("status", this->response_status());
-        this->exchange().answer(this->template make_relayed_answer<D>());
+        this->exchange().answer(this->template make_relayed_response<D>());
     }
 
     /// `is_free` when the last handover reached nobody: it is no further dispatch to the service then.
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -172,7 +172,7 @@
 
     /// The backend server's whole answer as it goes to the caller.
     template<typename D>
-    [[nodiscard]] Http::Response make_relayed_answer()
+    [[nodiscard]] Http::Response make_relayed_response()
     {
         Http::Response response;
         response.base() = *this->response_head;
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -146,7 +146,7 @@
 
     void pass_on()
     {
-        auto response = this->template make_relayed_answer<D>();
+        auto response = this->template make_relayed_response<D>();
         this->context.metrics.observe("call_seconds", this->held_for());
         this->context.log.event(Core::EventNumber::ServiceCallEnded, this->attempt())
             .with("backend", this->tried.back())
