--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -47,7 +47,7 @@
 
     void place()
     {
-        if (auto left = this->held_back_for()) {
+        if (auto left = this->quarantined_for()) {
             this->finish();
             return this->respond_quarantined(*left);
         }
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -210,7 +210,7 @@
     void survived() { record_run_survived(this->context, this->call.fingerprint); }
 
     /// For how much longer this request is held back, since servers end under it; nothing if it may be sent on.
-    [[nodiscard]] std::optional<Duration> held_back_for() const
+    [[nodiscard]] std::optional<Duration> quarantined_for() const
     {
         return this->context.quarantine.held_for(this->call.fingerprint, this->context.now());
     }
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -36,7 +36,7 @@
 
     void dispatch()
     {
-        if (auto left = this->held_back_for())
+        if (auto left = this->quarantined_for())
             return this->hold_back(*left);
         auto const& candidates = this->context.backends.of_service(this->call.service->name);
         this->backend = choose_for_call(
