--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -226,7 +226,7 @@
         this->suspect(*this->backend, is_unreachable, reason);
         auto text = Http::describe(end, reason);
         if (!is_unreachable)
-            this->look_for_end(this->backend, text);
+            this->check_for_termination(this->backend, text);
         if (this->exchange().is_streaming())
             return this->lose(text);
         if (is_unreachable)
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -189,7 +189,7 @@
 
     /// The connection to `backend` has broken off with this request. Finds out whether its process has ended, and
     /// remembers that unless it was to be expected.
-    void look_for_end(BackendPointer const& backend, std::string_view reason)
+    void check_for_termination(BackendPointer const& backend, std::string_view reason)
     {
         bool const is_expected = backend->availability != Availability::Serving;
         auto asked = [&context = this->context, backend, is_expected, attempt = this->attempt(),
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -106,7 +106,7 @@
         bool const is_turned_away = end == Http::ExchangeEnd::NoAnswer && this->is_on_new_connection;
         this->suspect(*used, is_unreachable || is_turned_away, reason);
         if (!is_unreachable)
-            this->look_for_end(used, Http::describe(end, reason));
+            this->check_for_termination(used, Http::describe(end, reason));
         // A head that says "not run" holds even if the rest of its answer was cut.
         bool const has_not_run = is_unreachable || (this->response_head && this->is_reported_not_run());
         this->may_have_run = this->may_have_run || !has_not_run;
