--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -109,7 +109,7 @@
         this->reset_response();
         this->reader = {};
         this->connection = this->context.connections.make_new(target->endpoint);
-        this->watch_end(*target, [weak = this->weak_from_this()] {
+        this->watch_termination(*target, [weak = this->weak_from_this()] {
             if (auto self = weak.lock())
                 self->engine_ended();
         });
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -147,7 +147,7 @@
     /// To be called with each dispatch: `on_end` is called when its backend server's process is known to have ended and
     /// the dispatch was to that one. One that was just sent may be with the process that took its place, which refuses
     /// it as not its own.
-    void watch_end(Backend& backend, std::function<void()> on_end)
+    void watch_termination(Backend& backend, std::function<void()> on_end)
     {
         this->end_watch = backend.observe_end([this, sent_at = this->context.now(), on_end = std::move(on_end)] {
             if (this->response_head || this->context.now() - sent_at >= longest_refusal)
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -50,7 +50,7 @@
         this->reset_response();
         this->connection = this->context.connections.acquire(this->backend->endpoint);
         this->is_on_new_connection = this->connection->is_new();
-        this->watch_end(*this->backend, [weak = this->weak_from_this()] {
+        this->watch_termination(*this->backend, [weak = this->weak_from_this()] {
             if (auto self = weak.lock())
                 self->backend_ended();
         });
