--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -215,7 +215,7 @@
     void exchange_ended(Http::ExchangeEnd end, std::string const& reason)
     {
         this->connection = nullptr;
-        this->end_watch = nullptr;
+        this->termination_watch = nullptr;
         if (this->move && this->source_has_stopped(end))
             return;
         if (end == Http::ExchangeEnd::Complete && this->is_relayed_answer())
@@ -402,7 +402,7 @@
             return this->dispatch_to(target, std::move(continuation));
         // What becomes of the source is no matter any more.
         this->connection = nullptr;
-        this->end_watch = nullptr;
+        this->termination_watch = nullptr;
         auto timer = std::make_shared<AK::Timer>(this->context.loop, pause);
         timer->async_wait([timer, weak = this->weak_from_this(), target, continuation = std::move(continuation)](
                               boost::system::error_code error) {
@@ -492,7 +492,7 @@
         if (this->connection)
             this->connection->cancel();
         this->connection = nullptr;
-        this->end_watch = nullptr;
+        this->termination_watch = nullptr;
         this->finish();
     }
 
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -149,10 +149,11 @@
     /// it as not its own.
     void watch_termination(Backend& backend, std::function<void()> on_end)
     {
-        this->end_watch = backend.observe_end([this, sent_at = this->context.now(), on_end = std::move(on_end)] {
-            if (this->response_head || this->context.now() - sent_at >= longest_refusal)
-                on_end();
-        });
+        this->termination_watch
+            = backend.observe_end([this, sent_at = this->context.now(), on_end = std::move(on_end)] {
+                  if (this->response_head || this->context.now() - sent_at >= longest_refusal)
+                      on_end();
+              });
     }
 
     /// The backend server itself says that it has not run the request and will not.
@@ -251,7 +252,7 @@
     static constexpr unsigned first_server_error = 500;
 
     /// While a dispatch is under way: hears of the end of its backend server's process.
-    std::shared_ptr<Backend::EndObserver> end_watch;
+    std::shared_ptr<Backend::EndObserver> termination_watch;
     ServingContext& context;
     AdmittedCall call;
     AK::Timer deadline_timer;
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -265,7 +265,7 @@
 
     BackendPointer release_backend()
     {
-        this->end_watch = nullptr;
+        this->termination_watch = nullptr;
         auto used = std::exchange(this->backend, nullptr);
         if (used && used->in_flight > 0)
             --used->in_flight;
