--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -239,7 +239,7 @@
 
     void stream_complete()
     {
-        this->survived();
+        this->record_completed_run();
         if (this->reader.has_partial_event())
             return this->lose("its last event was cut");
         this->log_end("complete");
@@ -256,7 +256,7 @@
             this->refused_by(*this->backend);
             return this->place_again("status " + std::to_string(this->response_status()), false);
         }
-        this->survived();
+        this->record_completed_run();
         if (this->is_server_error())
             this->suspect(*this->backend, false, "status " + std::to_string(this->response_status()));
         this->finish();
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -208,7 +208,7 @@
     }
 
     /// A backend server has answered whole, and so lives after what it ran of this request.
-    void survived() { record_run_survived(this->context, this->call.fingerprint); }
+    void record_completed_run() { record_run_survived(this->context, this->call.fingerprint); }
 
     /// For how much longer this request is held back, since servers end under it; nothing if it may be sent on.
     [[nodiscard]] std::optional<Duration> quarantined_for() const
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -126,7 +126,7 @@
             this->refused_by(used);
             return this->try_again(this->decoded_response.is_misdirected ? "misdirected" : "not run", false);
         }
-        this->survived();
+        this->record_completed_run();
         if (this->is_success() && !this->decoded_response.is_signed) {
             this->suspect(used, false, "unsigned");
             this->may_have_run = true;
