--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -253,7 +253,7 @@
         if (this->exchange().is_streaming())
             return this->continuation_refused();
         if (this->is_reported_not_run()) {
-            this->refused_by(*this->backend);
+            this->record_refusal_of(*this->backend);
             return this->place_again("status " + std::to_string(this->response_status()), false);
         }
         this->record_completed_run();
@@ -433,7 +433,7 @@
             = this->is_reported_not_run() && this->backend->back_off_left(this->context.now()) > 0s;
         // It is the same run that goes on, so that this is no repeat.
         if (may_go_on_later) {
-            this->refused_by(*this->backend);
+            this->record_refusal_of(*this->backend);
             return this->continue_once_wanted(this->backend, { this->move->copy_name(), this->order.last() });
         }
         this->lose("the engine that holds its copy answered status " + std::to_string(this->response_status()));
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -227,7 +227,7 @@
     }
 
     /// `backend` has answered that it did not run this request: it is full or will not, or it is not who it was.
-    void refused_by(Backend& backend)
+    void record_refusal_of(Backend& backend)
     {
         if (this->decoded_response.is_misdirected)
             return this->context.backend_terminated(backend);
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -123,7 +123,7 @@
     void answer_arrived(Backend& used)
     {
         if (this->is_reported_not_run()) {
-            this->refused_by(used);
+            this->record_refusal_of(used);
             return this->try_again(this->decoded_response.is_misdirected ? "misdirected" : "not run", false);
         }
         this->record_completed_run();
