--- a/Tests/Platform/HostFixture.h
+++ b/Tests/Platform/HostFixture.h
@@ -132,7 +132,7 @@
     {
         this->store.put("op", "evacuate/" + domain, value);
     }
-    void take_back_evacuation(std::string const& domain) { this->store.remove("op", "evacuate/" + domain); }
+    void cancel_evacuation(std::string const& domain) { this->store.remove("op", "evacuate/" + domain); }
 
     /// It goes off the list without having said that it leaves, and runs on.
     void take_off_list(PlatformRunner& runner) { this->store.remove("servers", runner.id()); }
--- a/Tests/Platform/TestBeliefs.cpp
+++ b/Tests/Platform/TestBeliefs.cpp
@@ -158,14 +158,14 @@
         }
         AND_WHEN("it is taken back")
         {
-            fixture.take_back_evacuation("hall-a");
+            fixture.cancel_evacuation("hall-a");
             fixture.until([&] { return fixture.log_has("event=E2311 domain_evacuation_taken_back subject=hall-a"); });
             auto again = fixture.call(HostFixture::generation("v6"));
             fixture.until([&] { return stream_engine->running_count() == 2; });
         }
         AND_WHEN("the platform forgets its history while it is taken back")
         {
-            fixture.take_back_evacuation("hall-a");
+            fixture.cancel_evacuation("hall-a");
             fixture.store.forget_history();
             fixture.until([&] { return fixture.log_has("event=E2311 domain_evacuation_taken_back subject=hall-a"); });
         }
