--- a/Tests/Platform/HostFixture.h
+++ b/Tests/Platform/HostFixture.h
@@ -135,7 +135,7 @@
     void cancel_evacuation(std::string const& domain) { this->store.remove("op", "evacuate/" + domain); }
 
     /// It goes off the list without having said that it leaves, and runs on.
-    void take_off_list(PlatformRunner& runner) { this->store.remove("servers", runner.id()); }
+    void remove_from_list(PlatformRunner& runner) { this->store.remove("servers", runner.id()); }
 
     std::shared_ptr<Call> send(Http::Request request, Http::tcp::endpoint const& endpoint)
     {
--- a/Tests/Platform/TestGenerations.cpp
+++ b/Tests/Platform/TestGenerations.cpp
@@ -248,7 +248,7 @@
     fixture.until([&] { return old_engine.running_count() == 1; });
     auto& new_engine = fixture.add_runner("engine-2", "models");
     fixture.until([&] { return fixture.log_has("subject=engine-2"); });
-    fixture.take_off_list(old_engine);
+    fixture.remove_from_list(old_engine);
     fixture.until([&] { return fixture.log_has("event=E2307 backend_server_gone subject=engine-1"); });
     old_engine.make_events();
     fixture.until([&] { return fixture.log_has("event=E2109 generation_copied subject=g6"); });
