--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -11,7 +11,8 @@
 
 namespace Serving {
 
-/// A generation: placed on an engine, relayed event by event, and moved to another engine when its own is leaving.
+/// Places one generation on an engine, relays its events to the caller, and moves it to another engine when its own is
+/// leaving.
 template<Dialect D>
 class Generation : public RequestFlow, public std::enable_shared_from_this<Generation<D>> {
 public:
@@ -20,7 +21,7 @@
     void start()
     {
         auto self = this->shared_from_this();
-        this->begin([self] { self->caller_left(); }, [self] { self->deadline_passed(); });
+        this->begin([self] { self->caller_disconnected(); }, [self] { self->deadline_passed(); });
         this->place();
     }
 
@@ -28,21 +29,21 @@
     using Move = GenerationMove<D>;
     using Phase = typename Move::Phase;
 
-    /// A generation runs for seconds, and is lost when its engine's domain is cut off from this host's.
+    /// A generation runs for seconds and is lost if its engine's failure domain becomes partitioned from this host's.
     static constexpr double other_domain_cost = 0.3;
-    /// Room may come free at other engines until its own has ended.
-    static constexpr Duration pause_after_failed_move = 150ms;
+    /// Other engines may free capacity before the source engine terminates, so a failed move is repeated.
+    static constexpr Duration move_retry_delay = 150ms;
 
-    // --- placing
+    // --- placement
 
     [[nodiscard]] GenerationDemand const& demand() const { return *this->call.head.demand; }
     [[nodiscard]] EngineTraits const& traits() const { return *this->call.service->engine; }
 
     [[nodiscard]] GenerationNeed need() const
     {
-        auto most = this->demand().max_output;
-        auto expected = this->demand().estimated_output.value_or(TokenCount(most.value() / 2));
-        return { this->demand().prompt, std::min(most, expected) };
+        auto max_output = this->demand().max_output;
+        auto expected = this->demand().estimated_output.value_or(TokenCount(max_output.value() / 2));
+        return { this->demand().prompt, std::min(max_output, expected) };
     }
 
     void place()
@@ -75,7 +76,7 @@
             .with("engine_tokens", estimated_tokens(chosen, this->context.now()))
             .with("engine_unread", chosen.engine.unread_tokens())
             .with("report_age_ms", this->report_age(chosen))
-            .with("belief_age_ms", this->belief_age(chosen))
+            .with("belief_age_ms", this->estimate_age(chosen))
             .with("cold_left_ms", chosen.cold_left(this->context.now()))
             .with("back_off_left_ms", chosen.back_off_left(this->context.now()))
             .with("avoided", static_cast<int>(chosen.is_avoided(this->context.now())))
@@ -85,8 +86,9 @@
             .with("left_ms", this->time_left());
     }
 
-    /// How old what hosts of the engine's domain have told can be; those of this domain tell of each placement at once.
-    [[nodiscard]] std::string belief_age(Backend const& engine) const
+    /// Age of the last report from the hosts of the engine's failure domain. It is 0 for the local domain, whose hosts
+    /// announce every placement immediately.
+    [[nodiscard]] std::string estimate_age(Backend const& engine) const
     {
         auto const& domain = engine.server.failure_domain;
         if (domain == this->context.settings.failure_domain)
@@ -111,7 +113,7 @@
         this->connection = this->context.connections.make_new(target->endpoint);
         this->watch_termination(*target, [weak = this->weak_from_this()] {
             if (auto self = weak.lock())
-                self->engine_ended();
+                self->engine_terminated();
         });
         DispatchHead const head { target->server.id, this->call.organisation, this->time_left(),
             std::move(continuation), {} };
@@ -127,15 +129,15 @@
             [self](Http::ExchangeEnd end, std::string const& reason) { self->exchange_ended(end, reason); } };
     }
 
-    // --- the answer
+    // --- response
 
     Http::HeadVerdict head_arrived(Http::ResponseHead const& head)
     {
         if (!this->template accept_response_head<D>(*this->backend, head))
             return Http::HeadVerdict::Skip;
-        this->answer_is_framed
+        this->response_is_framed
             = head.count(Http::Name::transfer_encoding) > 0 || head.count(Http::Name::content_length) > 0;
-        if (!this->is_relayed_answer())
+        if (!this->is_relayed_stream())
             return Http::HeadVerdict::Take;
         note_success(*this->backend);
         if (this->move)
@@ -145,8 +147,8 @@
         return Http::HeadVerdict::Take;
     }
 
-    /// Whether the answer under way is a stream of events for the caller.
-    [[nodiscard]] bool is_relayed_answer() const
+    /// Whether the current response is an event stream that is relayed to the caller.
+    [[nodiscard]] bool is_relayed_stream() const
     {
         return this->is_success() && this->decoded_response.is_signed && !this->decoded_response.is_not_run;
     }
@@ -159,22 +161,22 @@
 
     void body_arrived(std::string_view piece)
     {
-        if (!this->is_relayed_answer()) {
+        if (!this->is_relayed_stream()) {
             this->response_body += piece;
             return;
         }
         for (auto const& event : this->reader.feed(piece)) {
             auto verdict = this->order.check(event);
             if (verdict == Delivery::EventOrder::Verdict::Gap)
-                return this->lose("its engine left out events");
+                return this->fail_stream("event numbers from the engine have a gap");
             if (verdict == Delivery::EventOrder::Verdict::Forward)
                 this->forward(event);
-            // The caller may have been cut off with it.
+            // Sending the event may have closed the caller's connection.
             if (this->is_over)
                 return;
         }
         if (this->reader.is_oversized())
-            return this->lose("its engine sent an event without an end");
+            return this->fail_stream("the engine sent an event that exceeds the size limit");
         this->consider_move();
     }
 
@@ -185,7 +187,7 @@
             this->first_event(now);
         else
             this->context.metrics.observe("event_gap_seconds", now - this->last_event_at);
-        this->longest_gap = std::max(this->longest_gap, now - this->last_event_at);
+        this->max_gap = std::max(this->max_gap, now - this->last_event_at);
         this->last_event_at = now;
         this->claim->grow(this->traits().tokens_per_event);
         this->exchange().send_piece(event.text);
@@ -203,8 +205,8 @@
             .with("waited_ms", waited);
     }
 
-    /// Its process has ended with what it had under way, whatever the connection still looks like.
-    void engine_ended()
+    /// The engine's process has terminated with all its generations, even if the connection still looks open.
+    void engine_terminated()
     {
         if (!this->connection)
             return;
@@ -216,19 +218,19 @@
     {
         this->connection = nullptr;
         this->termination_watch = nullptr;
-        if (this->move && this->source_has_stopped(end))
+        if (this->move && this->source_disconnected(end))
             return;
-        if (end == Http::ExchangeEnd::Complete && this->is_relayed_answer())
+        if (end == Http::ExchangeEnd::Complete && this->is_relayed_stream())
             return this->stream_complete();
         if (end == Http::ExchangeEnd::Complete)
-            return this->other_answer();
+            return this->non_stream_response();
         bool const is_unreachable = end == Http::ExchangeEnd::NotConnected;
         this->suspect(*this->backend, is_unreachable, reason);
         auto text = Http::describe(end, reason);
         if (!is_unreachable)
             this->check_for_termination(this->backend, text);
         if (this->exchange().is_streaming())
-            return this->lose(text);
+            return this->fail_stream(text);
         if (is_unreachable)
             return this->place_again(text, true);
         this->finish();
@@ -241,14 +243,14 @@
     {
         this->record_completed_run();
         if (this->reader.has_partial_event())
-            return this->lose("its last event was cut");
+            return this->fail_stream("the last event was truncated");
         this->log_end("complete");
         this->finish();
         this->exchange().end_stream();
     }
 
-    /// A whole answer that is not a stream of events.
-    void other_answer()
+    /// Handles a complete response that is not an event stream.
+    void non_stream_response()
     {
         if (this->exchange().is_streaming())
             return this->continuation_refused();
@@ -271,7 +273,8 @@
         this->exchange().answer(this->template make_relayed_response<D>());
     }
 
-    /// `is_free` when the last handover reached nobody: it is no further dispatch to the service then.
+    /// `is_free` is set when the last dispatch reached no engine. The next one then takes nothing from the retry
+    /// budget.
     void place_again(std::string const& reason, bool is_free)
     {
         this->context.log.event(Core::EventNumber::PlacementRepeated, this->attempt())
@@ -332,9 +335,10 @@
             RequestOutcome::NotRun);
     }
 
-    // --- moving
+    // --- move
 
-    /// Called with each piece of the stream, and once the generation goes on elsewhere: that engine may be leaving too.
+    /// Called for each chunk of the stream, and when the generation has resumed at its target, which may be leaving
+    /// too.
     void consider_move()
     {
         if (this->move || !this->backend || this->backend->availability == Availability::Serving)
@@ -358,20 +362,21 @@
         if (this->move->phase() != Phase::Failed)
             return;
         this->move = nullptr;
-        this->next_move_at = this->context.now() + pause_after_failed_move;
+        this->next_move_at = this->context.now() + move_retry_delay;
         if (!this->connection && !this->is_over)
-            this->lose("its engine ended before its memory was elsewhere");
+            this->fail_stream("the engine terminated before its memory was copied");
     }
 
-    /// The source's connection has ended while a move is under way. True when that was to be expected, or when the
-    /// generation can go on from the copy.
-    bool source_has_stopped(Http::ExchangeEnd end)
+    /// Handles the end of the source's connection during a move. Returns true if that end is expected or the generation
+    /// can resume from its copy.
+    bool source_disconnected(Http::ExchangeEnd end)
     {
         if (this->continuing)
             return false;
-        // Without framing the end of a run cannot be told from its being stopped.
-        bool const is_whole = end == Http::ExchangeEnd::Complete && this->answer_is_framed && this->is_relayed_answer();
-        if (is_whole)
+        // Without Content-Length or chunked encoding, a completed run and a stopped one end the connection alike.
+        bool const is_complete
+            = end == Http::ExchangeEnd::Complete && this->response_is_framed && this->is_relayed_stream();
+        if (is_complete)
             return false;
         if (this->move->phase() == Phase::Copied)
             this->continue_at_target();
@@ -382,7 +387,7 @@
     {
         if (this->continuing || this->is_over)
             return;
-        // Events that the source has made may still be on their way; the target makes those again that never come.
+        // Events of the source may still be in transit. The target regenerates those that did not arrive.
         if (this->connection)
             this->connection->cancel();
         this->continuing = true;
@@ -391,24 +396,25 @@
         auto held = this->claim->held_tokens();
         this->claim.emplace(target, held, 0);
         this->context.use_changed();
-        this->continue_once_wanted(target, { this->move->copy_name(), this->order.last() });
+        this->continue_after_back_off(target, { this->move->copy_name(), this->order.last() });
     }
 
-    /// Where the copy is the generation goes on or nowhere.
-    void continue_once_wanted(BackendPointer const& target, Continuation continuation)
+    /// The generation can resume only at the engine that holds its copy, so this waits for the end of that engine's
+    /// backoff.
+    void continue_after_back_off(BackendPointer const& target, Continuation continuation)
     {
-        auto const pause = target->back_off_left(this->context.now());
-        if (pause == 0s)
+        auto const delay = target->back_off_left(this->context.now());
+        if (delay == 0s)
             return this->dispatch_to(target, std::move(continuation));
-        // What becomes of the source is no matter any more.
+        // The source is no longer needed.
         this->connection = nullptr;
         this->termination_watch = nullptr;
-        auto timer = std::make_shared<AK::Timer>(this->context.loop, pause);
+        auto timer = std::make_shared<AK::Timer>(this->context.loop, delay);
         timer->async_wait([timer, weak = this->weak_from_this(), target, continuation = std::move(continuation)](
                               boost::system::error_code error) {
             auto self = weak.lock();
             if (!error && self && !self->is_over)
-                self->continue_once_wanted(target, continuation);
+                self->continue_after_back_off(target, continuation);
         });
     }
 
@@ -429,20 +435,20 @@
 
     void continuation_refused()
     {
-        bool const may_go_on_later
+        bool const can_resume_later
             = this->is_reported_not_run() && this->backend->back_off_left(this->context.now()) > 0s;
-        // It is the same run that goes on, so that this is no repeat.
-        if (may_go_on_later) {
+        // The same run resumes, so this takes nothing from the retry budget.
+        if (can_resume_later) {
             this->record_refusal_of(*this->backend);
-            return this->continue_once_wanted(this->backend, { this->move->copy_name(), this->order.last() });
+            return this->continue_after_back_off(this->backend, { this->move->copy_name(), this->order.last() });
         }
-        this->lose("the engine that holds its copy answered status " + std::to_string(this->response_status()));
+        this->fail_stream("the engine that holds the copy returned status " + std::to_string(this->response_status()));
     }
 
-    // --- ends
+    // --- completion and failure
 
-    /// The rest of a stream that has begun cannot be had any more.
-    void lose(std::string const& reason)
+    /// Aborts a stream that has begun and can't be completed.
+    void fail_stream(std::string const& reason)
     {
         this->context.metrics.add("streams_lost_total");
         this->context.log.event(Core::EventNumber::StreamFailed, this->attempt())
@@ -466,7 +472,7 @@
             RequestOutcome::MayHaveRun);
     }
 
-    void caller_left()
+    void caller_disconnected()
     {
         this->context.log.event(Core::EventNumber::CallerLeft, this->attempt())
             .with("events", this->order.count())
@@ -482,7 +488,7 @@
             .with("route", this->call.route->name)
             .with("organisation", this->call.organisation)
             .with("events", this->order.count())
-            .with("longest_gap_ms", this->longest_gap)
+            .with("longest_gap_ms", this->max_gap)
             .with("pause_goal_ms", this->call.route->event_gap_goal)
             .with("held_ms", this->held_for());
     }
@@ -500,7 +506,7 @@
     {
         this->end();
         if (this->move)
-            this->move->withdraw();
+            this->move->cancel();
         this->move = nullptr;
         this->claim.reset();
         this->context.use_changed();
@@ -510,11 +516,11 @@
     std::shared_ptr<Http::BackendConnection> connection;
     std::optional<EngineClaim> claim;
     std::vector<EngineId> tried;
-    bool answer_is_framed { false };
+    bool response_is_framed { false };
     Delivery::EventStreamReader reader;
     Delivery::EventOrder order;
     Instant last_event_at {};
-    Duration longest_gap { 0 };
+    Duration max_gap { 0 };
     std::shared_ptr<Move> move;
     Instant next_move_at {};
     bool continuing { false };
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -12,19 +12,19 @@
 
 namespace Serving {
 
-/// Takes the memory of a running generation from an engine that is leaving to another one, in two steps: a copy while
-/// the run goes on, and shortly before the engine ends a second one of the little that is new, for which the run stops.
-/// So the pause that the caller sees is that of the second copy only.
+/// Moves the memory of a running generation from a leaving engine to another one in two steps. The first copy is made
+/// while the run continues. The second copy, made with the run stopped shortly before the engine terminates, transfers
+/// only what is new since the first. The caller's stream pauses only for the second copy.
 template<Dialect D>
 class GenerationMove : public std::enable_shared_from_this<GenerationMove<D>> {
 public:
     enum class Phase : u8 {
         Copying,
-        /// The first copy is done; the run goes on.
+        /// The first copy is done; the run continues.
         Copied,
-        /// The run has been told to stop.
+        /// The source has been requested to stop the run and make the second copy.
         HandingOver,
-        /// The run has stopped and all of its memory is at the target.
+        /// The run has stopped and can resume from the copy at the target.
         HandedOver,
         Failed,
     };
@@ -45,22 +45,22 @@
     {
     }
 
-    /// Copies from one engine go one after another. The largest go first: they are worth most, have most still to come,
-    /// and small ones may end by themselves meanwhile.
+    /// An engine makes one copy at a time, so smaller generations start later. Losing a large generation costs most,
+    /// and small ones may complete before their turn.
     void start()
     {
         this->uncopied.emplace(this->inputs.source, &EngineLoad::own_uncopied_tokens, this->inputs.held.value());
         this->context.use_changed();
         auto share = std::min(1.0, static_cast<double>(this->inputs.held.value()) / large_generation_tokens);
-        this->timer.expires_after(AK::from_seconds((1 - share) * AK::to_seconds(smallest_start_delay)));
+        this->timer.expires_after(AK::from_seconds((1 - share) * AK::to_seconds(max_start_delay)));
         this->timer.async_wait([self = this->shared_from_this()](boost::system::error_code error) {
             if (!error && !self->is_settled)
                 self->copy_to_next_target();
         });
     }
 
-    /// The generation has ended before it was handed over: frees the copy.
-    void withdraw()
+    /// Cancels the move because the generation ended before the handover, and frees the copy.
+    void cancel()
     {
         bool const frees_copy = this->copy && !this->is_settled;
         this->settle();
@@ -68,7 +68,8 @@
             this->drop_copy();
     }
 
-    /// The generation goes on from the copy: nothing more is asked of the source, and nothing more is told.
+    /// Ends the move because the generation resumes from the copy: sends no further request to the source and stops
+    /// calling the observer.
     void settle()
     {
         this->phase_changed = nullptr;
@@ -80,37 +81,38 @@
     }
 
     [[nodiscard]] Phase phase() const { return this->current; }
-    /// Null before the first target has been chosen, and when there was none.
+    /// Null until a target has been chosen, and if none was found.
     [[nodiscard]] BackendPointer const& target() const { return this->chosen; }
     [[nodiscard]] BackendPointer const& source() const { return this->inputs.source; }
-    /// How a continued request names the copy. Only once there is one.
+    /// The name of the copy in a request that resumes the generation. Valid only after a copy has been made.
     [[nodiscard]] std::string copy_name() const { return D::copy_name(*this->inputs.source, this->copy->handle); }
     [[nodiscard]] Instant started_at() const { return this->started; }
 
 private:
-    /// Engines that are asked to take a copy, one after another.
-    static constexpr u32 most_targets = 3;
-    /// A copy to another domain takes twice as long, and all copies from an engine that is leaving share its link and
-    /// the little time that is left: 26,000 tokens in 1.5 s of notice (164 KB a token, 24 Gbit/s) when all stay in the
-    /// domain.
+    /// Number of engines that are tried as targets, one after another.
+    static constexpr u32 max_targets = 3;
+    /// A copy to another failure domain takes twice as long, and all copies from a leaving engine share its link and
+    /// its remaining time. Within the domain, 1.5 s of notice suffice for 26,000 tokens (164 KB per token, 24 Gbit/s).
     static constexpr double other_domain_cost = 1.5;
-    /// Time before the end of the source at which the run is stopped. The last copies of all generations there share
-    /// its link: about ten generations with some megabytes each, at some hundred megabytes a second.
+    /// Time before the source terminates at which the run is stopped for the second copy. The second copies of all its
+    /// generations share its link: about ten generations with a few megabytes each, at a few hundred megabytes a
+    /// second.
     static constexpr Duration handover_margin = 450ms;
-    /// How long the smallest generation lets larger ones go first; the time of a copy of some 1,500 tokens.
-    static constexpr Duration smallest_start_delay = 80ms;
-    /// A generation of this size or more does not wait for others.
+    /// Delay of the first copy of the smallest generation, so that larger ones are copied before it. A copy of about
+    /// 1,500 tokens takes this long.
+    static constexpr Duration max_start_delay = 80ms;
+    /// A generation of at least this many tokens is copied without delay.
     static constexpr double large_generation_tokens = 6000;
-    /// What is left of an engine's time must be enough for the second copy and its answer.
-    static constexpr Duration shortest_handover = 120ms;
-    /// How often the source's end is looked at again; a third of the margin before it.
+    /// Remaining time of the source that suffices for the second copy and its response.
+    static constexpr Duration min_handover_time = 120ms;
+    /// Interval at which the expected termination time of the source is checked again; a third of `handover_margin`.
     static constexpr Duration end_check_period = 150ms;
-    /// A source that still runs so long after it should have ended goes on for an unknown time; copies do not keep that
-    /// long.
+    /// A source that runs this much longer than expected may run for an unknown time, during which the copy would
+    /// expire. The handover is then made immediately.
     static constexpr Duration overdue_margin = 1s;
     static constexpr double bits_per_byte = 8;
     static constexpr double bits_per_megabit = 1e6;
-    /// Pause before a source is asked again that was busy, or whose link was.
+    /// Delay before a copy is requested again from a source that was busy or whose link was.
     static constexpr Duration busy_retry_delay = 60ms;
 
     [[nodiscard]] ChoiceInputs choice_inputs() const
@@ -137,18 +139,18 @@
         GenerationNeed const need { this->inputs.held, TokenCount(0) };
         this->chosen = choose_for_generation(
             candidates, this->tried, need, this->inputs.traits.memory, this->choice_inputs(), this->context.random);
-        if (!this->chosen || this->tried.size() >= most_targets)
-            return this->fail("no engine has the room");
+        if (!this->chosen || this->tried.size() >= max_targets)
+            return this->fail("no engine has free capacity");
         this->tried.push_back(this->chosen->server.id);
         this->reservation.emplace(this->chosen, &EngineLoad::expected_copy_tokens, this->inputs.held.value());
         this->incoming.emplace(this->chosen, &EngineLoad::own_incoming_tokens, this->inputs.held.value());
         this->context.use_changed();
-        this->ask_for_copy(false);
+        this->request_copy(false);
     }
 
-    void ask_for_copy(bool is_last)
+    void request_copy(bool is_last)
     {
-        this->asked_at = this->context.now();
+        this->requested_at = this->context.now();
         this->response_status = 0;
         this->response_body.clear();
         this->connection = this->context.connections.make_new(this->inputs.source->endpoint);
@@ -162,14 +164,14 @@
             [self](std::string_view piece) { self->response_body += piece; },
             [self, is_last](Http::ExchangeEnd end, std::string const& reason) {
                 self->connection = nullptr;
-                self->copy_answered(is_last, end, reason);
+                self->copy_response_received(is_last, end, reason);
             },
         };
         this->connection->exchange(D::copy_request(*this->inputs.source, *this->chosen, this->inputs.attempt, is_last),
             std::move(observer), connect_timeout, backend_silence_limit);
     }
 
-    void copy_answered(bool is_last, Http::ExchangeEnd end, std::string const& reason)
+    void copy_response_received(bool is_last, Http::ExchangeEnd end, std::string const& reason)
     {
         if (end != Http::ExchangeEnd::Complete)
             return this->fail(Http::describe(end, reason));
@@ -177,14 +179,14 @@
         if (status == Http::Status::not_found)
             return this->run_has_ended();
         if (status == Http::Status::conflict)
-            return this->ask_again_later(is_last);
+            return this->request_copy_later(is_last);
         auto decoded = D::decode_copy(this->response_body);
         if (decoded)
             this->copy = decoded.value();
         if (status != Http::Status::ok)
             return this->copy_refused(is_last, "status " + std::to_string(this->response_status) + " for a copy");
         if (!decoded)
-            return this->copy_refused(is_last, "an answer to a copy: " + decoded.error().message);
+            return this->copy_refused(is_last, "invalid response to a copy request: " + decoded.error().message);
         this->copy_made(is_last);
     }
 
@@ -195,7 +197,7 @@
             .with("to", this->chosen->server.id)
             .with("last", static_cast<int>(is_last))
             .with("tokens", this->inputs.held)
-            .with("took_ms", this->context.now() - this->asked_at);
+            .with("took_ms", this->context.now() - this->requested_at);
         if (is_last)
             return this->enter(Phase::HandedOver);
         this->drop_link_claims();
@@ -203,7 +205,7 @@
         this->wait_for_handover();
     }
 
-    /// The links of the source and of the target have nothing more to carry for this generation.
+    /// Releases the claims on the links of source and target, which carry nothing more for this generation.
     void drop_link_claims()
     {
         this->uncopied.reset();
@@ -214,7 +216,7 @@
     void run_has_ended()
     {
         this->drop_link_claims();
-        this->log_failure("the generation does not run there any more");
+        this->log_failure("the generation no longer runs at the source");
         this->reservation.reset();
         this->enter(Phase::Failed);
     }
@@ -227,24 +229,25 @@
         this->copy_to_next_target();
     }
 
-    void ask_again_later(bool is_last)
+    void request_copy_later(bool is_last)
     {
         this->timer.expires_after(busy_retry_delay);
         this->timer.async_wait([self = this->shared_from_this(), is_last](boost::system::error_code error) {
             if (!error && !self->is_settled)
-                self->ask_for_copy(is_last);
+                self->request_copy(is_last);
         });
     }
 
-    [[nodiscard]] Instant source_ends_at() const
+    [[nodiscard]] Instant source_terminates_at() const
     {
         auto const& source = *this->inputs.source;
         return source.ends_at.value_or(source.available_since + this->context.settings.drain_time);
     }
 
-    void wait_for_handover() { this->consider_handover_at(this->source_ends_at() - handover_margin); }
+    void wait_for_handover() { this->consider_handover_at(this->source_terminates_at() - handover_margin); }
 
-    /// What is known of the source's end may change meanwhile, so it is looked at again before `when` has come.
+    /// Checks again at `when` or after `end_check_period`, whichever is earlier, since the expected termination time of
+    /// the source may change.
     void consider_handover_at(Instant when)
     {
         this->timer.expires_at(std::min(when, this->context.now() + end_check_period));
@@ -254,14 +257,15 @@
         });
     }
 
-    /// While others still copy, a second copy would only stop the run for as long as it waits for the link. Without one
-    /// the run goes on until its engine ends, and the little that the first copy lacks is read again.
+    /// Begins the handover if it is due and the links are free. While other generations are being copied, a second copy
+    /// would stop the run for as long as it waits for the link. Without a second copy, the run continues until its
+    /// engine terminates, and the target reads again the few tokens that the first copy lacks.
     void consider_handover()
     {
         if (this->chosen->is_evacuated)
-            return this->leave_target("the target's failure domain has been evacuated");
+            return this->abandon_target("the target's failure domain has been evacuated");
         auto now = this->context.now();
-        auto ends_at = this->source_ends_at();
+        auto ends_at = this->source_terminates_at();
         if (this->chosen->back_off_left(now) > 0s)
             return this->consider_back_off(ends_at);
         if (now < ends_at - handover_margin)
@@ -269,24 +273,25 @@
         bool const is_overdue = now >= ends_at + overdue_margin;
         bool const links_are_free
             = this->inputs.source->engine.uncopied_tokens() == 0 && this->chosen->engine.incoming_tokens() == 0;
-        if (is_overdue || (links_are_free && now < ends_at - shortest_handover)) {
+        if (is_overdue || (links_are_free && now < ends_at - min_handover_time)) {
             this->enter(Phase::HandingOver);
-            return this->ask_for_copy(true);
+            return this->request_copy(true);
         }
-        bool const may_become_free = now + busy_retry_delay < ends_at - shortest_handover;
+        bool const may_become_free = now + busy_retry_delay < ends_at - min_handover_time;
         this->consider_handover_at(may_become_free ? now + busy_retry_delay : ends_at + overdue_margin);
     }
 
-    /// The target wants nothing for a while: waits for it if the source runs for longer.
-    void consider_back_off(Instant source_ends_at)
+    /// The target requested a backoff: waits for its end if the source runs longer, and otherwise chooses another
+    /// target.
+    void consider_back_off(Instant source_terminates_at)
     {
-        if (this->chosen->back_off_until >= source_ends_at - shortest_handover)
-            return this->leave_target("the target has asked for a pause");
+        if (this->chosen->back_off_until >= source_terminates_at - min_handover_time)
+            return this->abandon_target("the target requested a backoff");
         this->consider_handover_at(this->chosen->back_off_until);
     }
 
-    /// The generation may not go on there any more.
-    void leave_target(std::string const& reason)
+    /// Drops the copy at the current target and tries the next one.
+    void abandon_target(std::string const& reason)
     {
         this->log_failure(reason);
         this->drop_copy();
@@ -298,7 +303,7 @@
     void enter(Phase phase)
     {
         this->current = phase;
-        // The observer may let go of this object, and withdraw() of the observer.
+        // The observer may release this object, and cancel() clears the observer.
         auto self = this->shared_from_this();
         auto observer = this->phase_changed;
         if (observer)
@@ -308,7 +313,7 @@
     void fail(std::string const& reason)
     {
         this->log_failure(reason);
-        // What was copied before is good for going on; the little that it lacks is read again.
+        // The generation can resume from the first copy; the target reads again the few tokens that it lacks.
         if (this->current == Phase::HandingOver && this->copy)
             return this->enter(Phase::HandedOver);
         this->reservation.reset();
@@ -335,7 +340,7 @@
                 return Http::HeadVerdict::Take;
             },
             [](std::string_view) {},
-            // Not freed: the engines free it themselves when its lifetime is over.
+            // A failed request needs no retry: the engine frees the copy when its lifetime expires.
             [](Http::ExchangeEnd, std::string const&) {},
         };
         connection_to_source->exchange(D::drop_copy_request(*this->inputs.source, this->copy->handle),
@@ -357,7 +362,7 @@
     Instant started { this->context.now() };
     std::optional<TokenClaim> uncopied;
     std::optional<TokenClaim> incoming;
-    Instant asked_at {};
+    Instant requested_at {};
     BackendPointer chosen;
     std::vector<EngineId> tried;
     std::optional<TokenClaim> reservation;
--- a/Meta/ablate.py
+++ b/Meta/ablate.py
@@ -22,15 +22,15 @@
     "departed-engines": ("engines off the list are not asked for their end, and nothing is told of them", [
         (SERVING + "BackendTable.cpp", "this->departed[id] = { entry, now };", "(void)now;")]),
     "largest-first": ("copies of small generations do not wait for large ones", [
-        (SERVING + "GenerationMove.h", "(1 - share) * AK::to_seconds(smallest_start_delay)", "(share - share)")]),
+        (SERVING + "GenerationMove.h", "(1 - share) * AK::to_seconds(max_start_delay)", "(share - share)")]),
     "shares": ("hosts do not use what others say they have at engines", [
         (SERVING + "PeerUse.cpp", "    for (auto const& engine : message.engines()) {",
          "    for (auto const& engine : wire::HostUse().engines()) {")]),
     "reports": ("engines' reports of their memory are not used for placing", [
         (SERVING + "BackendChooser.cpp", "if (!engine.report ||", "if (true || !engine.report ||")]),
     "length-hints": ("callers' guesses of the length are not used", [
-        (SERVING + "Generation.h", "this->demand().estimated_output.value_or(TokenCount(most.value() / 2))",
-         "TokenCount(most.value() / 2)")]),
+        (SERVING + "Generation.h", "this->demand().estimated_output.value_or(TokenCount(max_output.value() / 2))",
+         "TokenCount(max_output.value() / 2)")]),
     "unread-prompts": ("prompts that wait to be read cost nothing", [
         (SERVING + "BackendChooser.cpp", "static_cast<double>(backend.engine.unread_tokens()) / unread_tokens_scale",
          "0 / unread_tokens_scale")]),
