--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -124,14 +124,14 @@
     Http::ExchangeObserver make_observer()
     {
         auto self = this->shared_from_this();
-        return { [self](Http::ResponseHead const& head) { return self->head_arrived(head); },
-            [self](std::string_view piece) { self->body_arrived(piece); },
+        return { [self](Http::ResponseHead const& head) { return self->head_received(head); },
+            [self](std::string_view piece) { self->body_received(piece); },
             [self](Http::ExchangeEnd end, std::string const& reason) { self->exchange_ended(end, reason); } };
     }
 
     // --- response
 
-    Http::HeadVerdict head_arrived(Http::ResponseHead const& head)
+    Http::HeadVerdict head_received(Http::ResponseHead const& head)
     {
         if (!this->template accept_response_head<D>(*this->backend, head))
             return Http::HeadVerdict::Skip;
@@ -159,7 +159,7 @@
         this->exchange().begin_stream(head);
     }
 
-    void body_arrived(std::string_view piece)
+    void body_received(std::string_view piece)
     {
         if (!this->is_relayed_stream()) {
             this->response_body += piece;
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -20,22 +20,22 @@
 
 namespace Serving {
 
-/// A request that has been checked and may go to a backend server.
+/// A validated request that may be dispatched to a backend server.
 struct AdmittedCall {
     std::shared_ptr<Http::Exchange> exchange;
     CallHead head;
-    /// Keeps the route and the service alive across changes of the configuration.
+    /// Owns `route` and `service`, which stay valid when a newer configuration comes into force.
     std::shared_ptr<RoutingTable const> routing;
     Route const* route { nullptr };
     Service const* service { nullptr };
     OrganisationId organisation;
     RequestFingerprint fingerprint;
     u32 priority { 5 };
-    /// When the caller or the route's timeout gives up.
+    /// The earlier of the caller's and the route's timeout.
     Instant deadline {};
 };
 
-/// What both kinds of request do in the same way.
+/// Base class of ServiceCall and Generation: deadline, dispatch headers, response headers, retry budget and errors.
 class RequestFlow {
 public:
     RequestFlow(ServingContext& context, AdmittedCall call)
@@ -46,20 +46,21 @@
     }
 
 protected:
-    /// Begins the request's time here: counts it, and calls back when its caller leaves or its deadline passes.
-    void begin(std::function<void()> on_caller_left, std::function<void()> on_deadline)
+    /// Counts the request towards the retry budget, and starts to watch for its caller's disconnect and its deadline.
+    void begin(std::function<void()> on_caller_disconnected, std::function<void()> on_deadline)
     {
-        this->exchange().on_caller_left(std::move(on_caller_left));
+        this->exchange().on_caller_left(std::move(on_caller_disconnected));
         this->deadline_timer.expires_at(this->call.deadline);
         this->deadline_timer.async_wait([this, on_deadline = std::move(on_deadline)](boost::system::error_code error) {
-            // A wait that was over in the same turn of the loop as the request is not called off by cancel().
+            // cancel() doesn't stop a handler whose timer expired in the event loop iteration in which the request
+            // ended.
             if (!error && !this->is_over)
                 on_deadline();
         });
         this->context.budget.record_request(this->call.service->name, this->context.now());
     }
 
-    /// Ends the request's time here: its deadline concerns nobody any more.
+    /// Marks the request as ended and cancels its deadline.
     void end()
     {
         this->is_over = true;
@@ -69,9 +70,9 @@
     [[nodiscard]] Duration time_left() const { return this->call.deadline - this->context.now(); }
     [[nodiscard]] std::string const& attempt() const { return this->call.head.attempt; }
     [[nodiscard]] Http::Exchange& exchange() const { return *this->call.exchange; }
-    /// How long the request has been here.
+    /// Time since the request was received.
     [[nodiscard]] Duration held_for() const { return this->context.now() - this->exchange().received_at(); }
-    /// Takes one further dispatch out of the service's budget; false when there is none left.
+    /// Takes one further dispatch from the service's retry budget. Returns false if the budget is exhausted.
     [[nodiscard]] bool consume_retry_budget()
     {
         auto const& service = this->call.service->name;
@@ -86,8 +87,8 @@
         return decision.is_granted;
     }
 
-    /// The caller's request as it goes to the backend server that `head` names: without what concerns the caller's
-    /// connection only.
+    /// Returns the caller's request as it is sent to the backend server that `head` names, without the headers that
+    /// apply only to the caller's connection.
     template<typename D>
     Http::Request make_dispatch(DispatchHead const& head) const
     {
@@ -100,7 +101,7 @@
         return request;
     }
 
-    /// ErrorResponse in place of a backend server, and says so in the log.
+    /// Sends the caller an error response of this host, and logs it.
     void respond_with_error(Error const& error, RequestOutcome outcome)
     {
         auto status = status_for(error, outcome);
@@ -114,14 +115,14 @@
         this->exchange().answer(error_response(error, outcome));
     }
 
-    /// To be called before each dispatch: what comes from now on answers that one.
+    /// Clears the response of the previous dispatch. To be called before each dispatch.
     void reset_response()
     {
         this->response_head.reset();
         this->response_body.clear();
     }
 
-    /// Takes in the head of `backend`'s answer; false when it belongs to an earlier request.
+    /// Records the response head from `backend`. Returns false if the response belongs to an earlier request.
     template<typename D>
     [[nodiscard]] bool accept_response_head(Backend& backend, Http::ResponseHead const& head)
     {
@@ -131,39 +132,39 @@
             return false;
         this->response_head = head;
         this->decoded_response = decoded;
-        this->note_load(backend, decoded);
-        // Another process's answer says nothing of this one.
+        this->record_load(backend, decoded);
+        // A misdirected response comes from another process and doesn't carry this server's limit.
         if (!decoded.is_misdirected)
             record_rate_limit(this->context, backend, decoded.limit);
         return true;
     }
 
-    /// Of the answer whose head has come; the same holds for those below.
+    /// Status of the current response. This and the functions below require that its head has been received.
     [[nodiscard]] unsigned response_status() const { return this->response_head->result_int(); }
     [[nodiscard]] bool is_success() const
     {
         return this->response_status() >= first_success && this->response_status() < first_redirection;
     }
-    /// To be called with each dispatch: `on_end` is called when its backend server's process is known to have ended and
-    /// the dispatch was to that one. One that was just sent may be with the process that took its place, which refuses
-    /// it as not its own.
-    void watch_termination(Backend& backend, std::function<void()> on_end)
+    /// To be called with each dispatch. `on_terminated` is called when the process that runs the dispatch is known to
+    /// have terminated. A dispatch without a response that was sent less than `max_refusal_delay` ago may have reached
+    /// the replacement process, which then refuses it as misdirected.
+    void watch_termination(Backend& backend, std::function<void()> on_terminated)
     {
         this->termination_watch
-            = backend.observe_end([this, sent_at = this->context.now(), on_end = std::move(on_end)] {
-                  if (this->response_head || this->context.now() - sent_at >= longest_refusal)
-                      on_end();
+            = backend.observe_end([this, sent_at = this->context.now(), on_terminated = std::move(on_terminated)] {
+                  if (this->response_head || this->context.now() - sent_at >= max_refusal_delay)
+                      on_terminated();
               });
     }
 
-    /// The backend server itself says that it has not run the request and will not.
+    /// Whether the backend server reports that it has not run the request and will not run it.
     [[nodiscard]] bool is_reported_not_run() const
     {
         return this->decoded_response.is_not_run || this->decoded_response.is_misdirected;
     }
     [[nodiscard]] bool is_server_error() const { return this->response_status() >= first_server_error; }
 
-    /// Takes out what concerns this host and the backend server only.
+    /// Removes the headers that apply only between this host and the backend server.
     template<typename D>
     static void remove_hop_fields(Http::Fields& fields)
     {
@@ -171,7 +172,7 @@
         D::remove_server_notice(fields);
     }
 
-    /// The backend server's whole answer as it goes to the caller.
+    /// Returns the backend server's complete response as it is sent to the caller.
     template<typename D>
     [[nodiscard]] Http::Response make_relayed_response()
     {
@@ -182,19 +183,20 @@
         return response;
     }
 
-    /// This request has failed by the fault of `backend`.
+    /// Records that `backend` caused this request to fail.
     void suspect(Backend& backend, bool is_unreachable, std::string_view reason)
     {
         Serving::suspect(this->context, backend, { is_unreachable, this->attempt(), std::string(reason) });
     }
 
-    /// The connection to `backend` has broken off with this request. Finds out whether its process has ended, and
-    /// remembers that unless it was to be expected.
+    /// To be called when the connection to `backend` broke during this request. Checks whether its process has
+    /// terminated, and records the termination against the request's fingerprint unless the server was known to be
+    /// leaving.
     void check_for_termination(BackendPointer const& backend, std::string_view reason)
     {
         bool const is_expected = backend->availability != Availability::Serving;
-        auto asked = [&context = this->context, backend, is_expected, attempt = this->attempt(),
-                         fingerprint = this->call.fingerprint, reason = std::string(reason)](ProcessState state) {
+        auto on_state = [&context = this->context, backend, is_expected, attempt = this->attempt(),
+                            fingerprint = this->call.fingerprint, reason = std::string(reason)](ProcessState state) {
             context.log.event(Core::EventNumber::BackendServerDisconnected, backend->server.id.value())
                 .with("request", attempt)
                 .with("fingerprint", to_text(fingerprint))
@@ -204,19 +206,20 @@
             if (state == ProcessState::Terminated && !is_expected)
                 record_termination_under(context, fingerprint, *backend);
         };
-        this->context.processes.query(*backend, std::move(asked));
+        this->context.processes.query(*backend, std::move(on_state));
     }
 
-    /// A backend server has answered whole, and so lives after what it ran of this request.
+    /// Records that a backend server has returned a complete response, and so did not terminate while running this
+    /// request.
     void record_completed_run() { record_run_survived(this->context, this->call.fingerprint); }
 
-    /// For how much longer this request is held back, since servers end under it; nothing if it may be sent on.
+    /// Remaining quarantine of this request, because servers terminate while running it; empty if it may be dispatched.
     [[nodiscard]] std::optional<Duration> quarantined_for() const
     {
         return this->context.quarantine.held_for(this->call.fingerprint, this->context.now());
     }
 
-    /// The answer to a request that is held back and has not run.
+    /// Rejects a quarantined request that has not run.
     void respond_quarantined(Duration left)
     {
         this->context.metrics.add("requests_held_back_total");
@@ -226,7 +229,8 @@
             RequestOutcome::NotRun);
     }
 
-    /// `backend` has answered that it did not run this request: it is full or will not, or it is not who it was.
+    /// Records that `backend` reported this request as not run: it refused it, or another process has taken its
+    /// address.
     void record_refusal_of(Backend& backend)
     {
         if (this->decoded_response.is_misdirected)
@@ -234,51 +238,51 @@
         record_refusal(this->context, backend, this->attempt(), "status " + std::to_string(this->response_status()));
     }
 
-    /// Keeps what the backend server says of its load, if it says anything.
-    void note_load(Backend& backend, BackendResponseHead const& answer)
+    /// Records the load that the backend server reports, if any.
+    void record_load(Backend& backend, BackendResponseHead const& response)
     {
-        if (!answer.load)
+        if (!response.load)
             return;
-        backend.load = answer.load;
+        backend.load = response.load;
         backend.load_heard_at = this->context.now();
     }
 
-    /// A process that is not the one that a request names refuses it in milliseconds, and a second over a link that
-    /// loses packets.
-    static constexpr Duration longest_refusal = 1s;
-    /// Where the classes of HTTP's statuses begin (RFC 9110, section 15).
+    /// A process that is not the target of a request refuses it within milliseconds, or within a second over a link
+    /// that loses packets.
+    static constexpr Duration max_refusal_delay = 1s;
+    /// First status of each HTTP status class (RFC 9110, section 15).
     static constexpr unsigned first_success = 200;
     static constexpr unsigned first_redirection = 300;
     static constexpr unsigned first_server_error = 500;
 
-    /// While a dispatch is under way: hears of the end of its backend server's process.
+    /// Observes the termination of the backend server's process while a dispatch is in progress.
     std::shared_ptr<Backend::EndObserver> termination_watch;
     ServingContext& context;
     AdmittedCall call;
     AK::Timer deadline_timer;
-    /// Of the dispatch under way or the last one; empty until its head has come.
+    /// Response head of the current or last dispatch; empty until it has been received.
     std::optional<Http::ResponseHead> response_head;
     BackendResponseHead decoded_response;
-    /// A whole answer, so far. Streams pass it by.
+    /// Received part of a non-stream response; streams are not buffered here.
     std::string response_body;
     bool is_over { false };
 };
 
-/// The end of an exchange whose backend server's process is known to have ended.
+/// Reason for cancelling an exchange whose backend server process is known to have terminated.
 inline constexpr std::string_view replaced_reason = "another process has taken its place";
 
-/// Handovers that failed before anything was run do not count as runs, but there must be an end to them.
+/// Bounds all dispatches of a request, including those that did not run and so are not limited by the route.
 inline constexpr u32 max_dispatch_attempts = 4;
 
-/// How long a connection to a backend server may take to come up. In a failure domain it takes a millisecond.
+/// Timeout for connecting to a backend server. Within a failure domain, connecting takes about a millisecond.
 inline constexpr Duration connect_timeout = 400ms;
-/// A backend server whose host has acknowledged nothing for this long is cut off or has no power.
+/// A backend server whose host has acknowledged nothing for this long is partitioned or has lost power.
 inline constexpr Duration backend_silence_limit = 3s;
-/// The same for a generation, which goes on by itself once a partition is over: nothing is gained by ending it earlier,
-/// since it cannot be sent again. Longer than most partitions of failure domains, and bounded so that a caller without
-/// a deadline hears of an engine's loss.
+/// The same limit for a generation. Its stream resumes by itself after a partition, and it can't be sent again, so
+/// ending it earlier has no benefit. The limit exceeds most partitions of failure domains, and is bounded so that a
+/// caller without a deadline learns that its engine is lost.
 inline constexpr Duration generation_silence_limit = 12s;
-/// When the caller of a refused request should come back if nothing better is known.
+/// Retry-After of a refused request if no better estimate is known.
 inline constexpr Duration default_retry_after = 200ms;
 
 }
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -11,7 +11,7 @@
 
 namespace Serving {
 
-/// A call to a plain service: one answer, whole or not at all.
+/// A call to a plain service. The caller gets one complete response or an error, never part of a response.
 template<Dialect D>
 class ServiceCall : public RequestFlow, public std::enable_shared_from_this<ServiceCall<D>> {
 public:
@@ -20,31 +20,32 @@
     void start()
     {
         auto self = this->shared_from_this();
-        this->begin([self] { self->caller_left(); }, [self] { self->deadline_passed(); });
+        this->begin([self] { self->caller_disconnected(); }, [self] { self->deadline_passed(); });
         this->dispatch();
     }
 
 private:
-    /// Two more calls at a backend server of six slots. A call that is under way when its domain is cut off is lost.
+    /// Worth two more calls at a backend server with six slots. A call in progress is lost if its failure domain
+    /// becomes partitioned.
     static constexpr double other_domain_cost = 0.3;
-    /// Connections come up in some milliseconds, also between failure domains and on hosts that are eight times slower.
-    static constexpr Duration shortest_connect_patience = 50ms;
-    /// Requests that servers in need take are dealt out over some seconds.
-    static constexpr Duration bounded_retry_after = 500ms;
-    /// After a pause that a server has asked for, those whom it concerned return over so long.
-    static constexpr Duration latest_return = 400ms;
+    /// Connecting takes a few milliseconds, even between failure domains and on hosts that are eight times slower.
+    static constexpr Duration min_connect_timeout = 50ms;
+    /// Servers under a request limit get their requests spread over a few seconds.
+    static constexpr Duration limited_retry_after = 500ms;
+    /// Callers that were refused because of a backoff return spread over this time after its end.
+    static constexpr Duration max_return_jitter = 400ms;
 
     void dispatch()
     {
         if (auto left = this->quarantined_for())
-            return this->hold_back(*left);
+            return this->reject_quarantined(*left);
         auto const& candidates = this->context.backends.of_service(this->call.service->name);
         this->backend = choose_for_call(
             candidates, this->tried, this->context.choice_inputs(other_domain_cost), this->context.random);
         if (!this->backend)
             return this->no_backend();
         this->tried.push_back(this->backend->server.id);
-        ++this->handovers;
+        ++this->dispatches;
         ++this->backend->in_flight;
         this->context.server_limits.record_sent(*this->backend, this->context.now());
         this->reset_response();
@@ -52,25 +53,25 @@
         this->is_on_new_connection = this->connection->is_new();
         this->watch_termination(*this->backend, [weak = this->weak_from_this()] {
             if (auto self = weak.lock())
-                self->backend_ended();
+                self->backend_terminated();
         });
         this->log_dispatch();
         DispatchHead const head { this->backend->server.id, this->call.organisation, this->time_left(), {}, {} };
         this->connection->exchange(this->template make_dispatch<D>(head), this->make_observer(),
-            this->patience_to_connect(), backend_silence_limit);
+            this->connect_timeout_for_route(), backend_silence_limit);
     }
 
-    /// A caller that waits for half of its goal can still be served in time by another backend server.
-    [[nodiscard]] Duration patience_to_connect() const
+    /// Connect timeout of half the latency goal, so that another backend server can still respond within the goal.
+    [[nodiscard]] Duration connect_timeout_for_route() const
     {
-        return std::clamp<Duration>(this->call.route->latency_goal / 2, shortest_connect_patience, connect_timeout);
+        return std::clamp<Duration>(this->call.route->latency_goal / 2, min_connect_timeout, connect_timeout);
     }
 
     void log_dispatch()
     {
         this->context.log.event(Core::EventNumber::ServiceCallDispatched, this->attempt())
             .with("backend", this->backend->server.id)
-            .with("try", this->handovers)
+            .with("try", this->dispatches)
             .with("kept", static_cast<int>(!this->is_on_new_connection))
             .with("rested_ms", this->is_on_new_connection ? Duration(0) : this->connection->rested_for())
             .with("in_flight", this->backend->in_flight)
@@ -84,12 +85,12 @@
     Http::ExchangeObserver make_observer()
     {
         auto self = this->shared_from_this();
-        return { [self](Http::ResponseHead const& head) { return self->head_arrived(head); },
+        return { [self](Http::ResponseHead const& head) { return self->head_received(head); },
             [self](std::string_view piece) { self->response_body += piece; },
             [self](Http::ExchangeEnd end, std::string const& reason) { self->exchange_ended(end, reason); } };
     }
 
-    Http::HeadVerdict head_arrived(Http::ResponseHead const& head)
+    Http::HeadVerdict head_received(Http::ResponseHead const& head)
     {
         return this->template accept_response_head<D>(*this->backend, head) ? Http::HeadVerdict::Take
                                                                             : Http::HeadVerdict::Skip;
@@ -99,28 +100,28 @@
     {
         auto used = this->release_backend();
         if (end == Http::ExchangeEnd::Complete)
-            return this->answer_arrived(*used);
+            return this->response_received(*used);
         bool const is_unreachable = end == Http::ExchangeEnd::NotConnected;
-        // A kept connection may have been forgotten. One that was made for this call and ends without an answer is as
-        // bad a sign as one that could not be made: the backend server is down, or has no room for connections.
-        bool const is_turned_away = end == Http::ExchangeEnd::NoAnswer && this->is_on_new_connection;
-        this->suspect(*used, is_unreachable || is_turned_away, reason);
+        // The server may have closed a persistent connection that was idle. A new connection that ends without a
+        // response counts like a failed connect: the backend server is down or has no capacity for connections.
+        bool const is_rejected = end == Http::ExchangeEnd::NoAnswer && this->is_on_new_connection;
+        this->suspect(*used, is_unreachable || is_rejected, reason);
         if (!is_unreachable)
             this->check_for_termination(used, Http::describe(end, reason));
-        // A head that says "not run" holds even if the rest of its answer was cut.
+        // A head that reports "not run" is valid even if the rest of the response was truncated.
         bool const has_not_run = is_unreachable || (this->response_head && this->is_reported_not_run());
         this->may_have_run = this->may_have_run || !has_not_run;
         this->try_again(Http::describe(end, reason), is_unreachable);
     }
 
-    /// Its process has ended with what it had under way, whatever the connection still looks like.
-    void backend_ended()
+    /// The backend server's process has terminated with all its calls, even if the connection still looks open.
+    void backend_terminated()
     {
         this->connection->cancel();
         this->exchange_ended(Http::ExchangeEnd::NoAnswer, std::string(replaced_reason));
     }
 
-    void answer_arrived(Backend& used)
+    void response_received(Backend& used)
     {
         if (this->is_reported_not_run()) {
             this->record_refusal_of(used);
@@ -134,17 +135,17 @@
         }
         if (!this->is_server_error()) {
             note_success(used);
-            return this->pass_on();
+            return this->relay_response();
         }
         auto reason = "status " + std::to_string(this->response_status());
         this->suspect(used, false, reason);
         this->may_have_run = true;
         if (this->may_run_again() && this->consume_retry_budget())
             return this->retry(reason);
-        this->pass_on();
+        this->relay_response();
     }
 
-    void pass_on()
+    void relay_response()
     {
         auto response = this->template make_relayed_response<D>();
         this->context.metrics.observe("call_seconds", this->held_for());
@@ -153,7 +154,7 @@
             .with("status", response.result_int())
             .with("route", this->call.route->name)
             .with("organisation", this->call.organisation)
-            .with("tries", this->handovers)
+            .with("tries", this->dispatches)
             .with("held_ms", this->held_for());
         this->end();
         this->exchange().answer(std::move(response));
@@ -164,18 +165,18 @@
         return this->call.route->kind == CallKind::Repeatable && this->runs() < this->call.route->max_dispatches;
     }
 
-    /// Handovers after which the request may have run.
-    [[nodiscard]] u32 runs() const { return this->handovers - this->handovers_not_run; }
+    /// Number of dispatches after which the request may have run.
+    [[nodiscard]] u32 runs() const { return this->dispatches - this->dispatches_not_run; }
 
-    /// The last handover brought no answer that the caller can be given. `reached_nobody` when its connection was not
-    /// made: then the next one is no further arrival at the service, and takes nothing from the budget.
-    void try_again(std::string const& reason, bool reached_nobody)
+    /// Dispatches the call again if that is allowed, after a dispatch without a usable response. `is_unreachable` is
+    /// set if its connection could not be made; the next dispatch then takes nothing from the retry budget.
+    void try_again(std::string const& reason, bool is_unreachable)
     {
-        bool const last_was_not_run = reached_nobody || (this->response_head && this->is_reported_not_run());
+        bool const last_was_not_run = is_unreachable || (this->response_head && this->is_reported_not_run());
         if (last_was_not_run)
-            ++this->handovers_not_run;
-        bool const allowed = last_was_not_run ? this->handovers < max_dispatch_attempts : this->may_run_again();
-        if (allowed && (reached_nobody || this->consume_retry_budget()))
+            ++this->dispatches_not_run;
+        bool const allowed = last_was_not_run ? this->dispatches < max_dispatch_attempts : this->may_run_again();
+        if (allowed && (is_unreachable || this->consume_retry_budget()))
             return this->retry(reason);
         this->give_up(reason);
     }
@@ -202,7 +203,7 @@
             RequestOutcome::NotRun);
     }
 
-    void hold_back(Duration left)
+    void reject_quarantined(Duration left)
     {
         if (this->may_have_run)
             return this->give_up("servers have ended under it each time");
@@ -222,13 +223,13 @@
         if (some_serve)
             return this->respond_with_error(
                 { ErrorKind::Overloaded, "the backend servers of the service take no more now; send the call again",
-                    bounded_retry_after },
+                    limited_retry_after },
                 RequestOutcome::NotRun);
         if (auto const back_off = shortest_back_off(candidates, now))
             return this->respond_with_error(
                 { ErrorKind::Overloaded,
                     "the backend servers of the service have asked for a pause; send the call again",
-                    *back_off + this->draw_return() },
+                    *back_off + this->return_jitter() },
                 RequestOutcome::NotRun);
         this->respond_with_error(
             { ErrorKind::NoBackendServer, "no backend server of the service is known to serve; send the call again",
@@ -236,10 +237,10 @@
             RequestOutcome::NotRun);
     }
 
-    /// Those that were refused until the same moment do not return together.
-    [[nodiscard]] Duration draw_return()
+    /// Random delay, so that callers refused until the same time don't all return at once.
+    [[nodiscard]] Duration return_jitter()
     {
-        boost::random::uniform_real_distribution<double> seconds(0, AK::to_seconds(latest_return));
+        boost::random::uniform_real_distribution<double> seconds(0, AK::to_seconds(max_return_jitter));
         return AK::from_seconds(seconds(this->context.random));
     }
 
@@ -257,7 +258,7 @@
             RequestOutcome::NotRun);
     }
 
-    void caller_left()
+    void caller_disconnected()
     {
         this->context.log.event(Core::EventNumber::CallerLeft, this->attempt()).with("held_ms", this->held_for());
         this->abandon();
@@ -287,8 +288,8 @@
     std::shared_ptr<Http::BackendConnection> connection;
     std::vector<EngineId> tried;
     bool is_on_new_connection { false };
-    u32 handovers { 0 };
-    u32 handovers_not_run { 0 };
+    u32 dispatches { 0 };
+    u32 dispatches_not_run { 0 };
     bool may_have_run { false };
 };
 
--- a/Meta/ablate.py
+++ b/Meta/ablate.py
@@ -47,7 +47,7 @@
     "silent-domains": ("domains whose hosts are silent cost nothing more", [
         (SERVING + "BackendChooser.cpp", "silent_domain_cost = 50", "silent_domain_cost = 0")]),
     "short-connect": ("a call waits for a connection as long as a generation", [
-        (SERVING + "ServiceCall.h", "this->call.route->latency_goal / 2, shortest", "connect_timeout, shortest")]),
+        (SERVING + "ServiceCall.h", "this->call.route->latency_goal / 2, min", "connect_timeout, min")]),
 }
 
 
