--- a/Libraries/LibServing/Configuration.h
+++ b/Libraries/LibServing/Configuration.h
@@ -12,17 +12,17 @@
 #include <string>
 #include <vector>
 
-/// The host form of lilactiller: one process on each entry host that takes callers' requests, decides, and relays
-/// the answers of backend servers.
+/// The host form of lilactiller: one process on each entry host that accepts callers' requests, chooses backend servers
+/// for them, and relays the responses.
 namespace Serving {
 
-/// What may be done with a request again.
+/// Whether a request may be dispatched more than once.
 enum class CallKind : u8 {
-    /// Running it twice does no harm.
+    /// The request is idempotent.
     Repeatable,
-    /// It may run once at most for each of the caller's attempts.
+    /// The request may run at most once per attempt of the caller.
     AtMostOnce,
-    /// A generation; at most once as well, and its answer is a stream of events.
+    /// A generation, which also runs at most once. Its response is an event stream.
     Generation,
 };
 
@@ -34,25 +34,25 @@
 struct Route {
     RouteName name;
     std::string host;
-    /// Begins and ends with a slash.
+    /// Starts and ends with a slash.
     std::string path_prefix;
     CallKind kind { CallKind::AtMostOnce };
-    /// The longest that a request may be held.
+    /// Maximum time from the receipt of a request to its end.
     Duration timeout { 30s };
-    /// The time to the answer, or to the first event of a stream, that the operator aims at.
+    /// The operator's goal for the time to the response or to the first event of a stream.
     Duration latency_goal { 1s };
-    /// The longest pause between events that the operator aims at.
+    /// The operator's goal for the maximum time between two events of a stream.
     Duration event_gap_goal { 180ms };
     /// 0 is the most urgent.
     u32 priority { 5 };
     std::vector<WeightedService> services;
-    /// Backend servers that one attempt of a caller may run on.
+    /// Maximum number of backend servers that one attempt of a caller may run on.
     u32 max_dispatches { 1 };
     bool is_public { false };
     bool is_resumable { false };
 };
 
-/// What the operator says of the engines of a service.
+/// Properties of a service's engines, as configured by the operator.
 struct EngineTraits {
     u32 slots { 1 };
     TokenCount memory;
@@ -60,16 +60,16 @@
     double link_megabits_per_second { 0 };
     bool can_move { false };
     bool can_back_up { false };
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     u32 tokens_per_event { 1 };
     Duration copy_lifetime { 5s };
 };
 
 struct Service {
     ServiceName name;
-    /// Connections that one backend server takes from all hosts together.
+    /// Maximum number of connections that one backend server accepts from all hosts together.
     u32 max_connections { 64 };
-    /// What one backend server bears while it is cold, from all hosts together; 0 where no bound is configured.
+    /// Request rate that one cold backend server sustains from all hosts together; 0 if no bound is configured.
     double cold_requests_per_second { 0 };
     std::optional<EngineTraits> engine;
 };
@@ -77,11 +77,11 @@
 struct Organisation {
     OrganisationId name;
     std::vector<std::string> keys;
-    /// Goes before the priority of the route.
+    /// Overrides the priority of the route.
     std::optional<u32> priority;
 };
 
-/// One version of what the operator has configured, whole.
+/// One complete version of the operator's configuration.
 struct Configuration {
     Revision revision;
     std::vector<Route> routes;
--- a/Libraries/LibServing/Dialect.h
+++ b/Libraries/LibServing/Dialect.h
@@ -13,34 +13,34 @@
 
 namespace Serving {
 
-/// What a generation asks for.
+/// Requirements of a generation.
 struct GenerationDemand {
     ModelId model;
     TokenCount prompt;
-    /// The most that may come out.
+    /// Upper bound of the output.
     TokenCount max_output;
-    /// The caller's guess of what will come out: right in the median, often far off.
+    /// The caller's estimate of the output. Its median is accurate, but single estimates are often far off.
     std::optional<TokenCount> estimated_output;
 };
 
-/// What a caller's head says, apart from what HTTP itself says.
+/// Platform-specific content of a caller's request head.
 struct CallHead {
-    /// Names the caller's attempt; a further attempt has another one.
+    /// Id of the caller's attempt; each further attempt has a new one.
     std::string attempt;
     std::optional<Duration> timeout;
     std::string key;
     std::optional<GenerationDemand> demand;
 };
 
-/// Where a generation goes on that has run elsewhere before.
+/// The state from which a moved generation resumes.
 struct Continuation {
-    /// Names the copy of its memory, in the words of the backend server that gave it.
+    /// Name of the copy of its memory, as assigned by the backend server that made it.
     std::string copy;
-    /// The last event that the caller has; empty when it has none.
+    /// The last event that was relayed to the caller; empty if there was none.
     std::optional<u64> last_event;
 };
 
-/// What the system says to a backend server along with a request.
+/// Platform-specific content of the head of a request to a backend server.
 struct DispatchHead {
     EngineId target;
     OrganisationId organisation;
@@ -50,32 +50,32 @@
     std::optional<u32> urgency;
 };
 
-/// What a backend server's head says, apart from what HTTP itself says.
+/// Platform-specific content of a backend server's response head.
 struct BackendResponseHead {
-    /// The caller's attempt that it answers; empty when it does not say.
+    /// The caller's attempt to which it responds; empty if not specified.
     std::string attempt;
-    /// It says that the request was not and will not be run.
+    /// The server reports that the request has not run and will not run.
     bool is_not_run { false };
-    /// Another backend server holds the address now.
+    /// Another backend server uses the address now.
     bool is_misdirected { false };
     bool is_signed { false };
     std::optional<LoadReport> load;
-    /// The requests that it takes from all hosts together; nothing while it names no limit.
+    /// Rate at which it accepts requests from all hosts together; empty if it reports no limit.
     std::optional<RequestRate> limit;
-    /// It wants no requests of this host for so long; nothing while it does not ask for that.
+    /// Time for which it requests this host to send nothing; empty if it requests no backoff.
     std::optional<Duration> back_off_for;
-    /// Its process takes no new work any more and will end.
+    /// Its process accepts no new work and will terminate.
     bool is_leaving { false };
 };
 
-/// A copy of a generation's memory at another engine.
+/// A copy of a generation's memory on another engine.
 struct MemoryCopy {
     std::string handle;
-    /// Events made before the copy was complete.
+    /// Number of events generated before the copy was complete.
     std::optional<u64> events_made;
 };
 
-/// How callers, backend servers and engines are spoken to. Translates only; decides nothing.
+/// The protocol of callers, backend servers and engines. Encodes and decodes messages and makes no decisions.
 template<typename T>
 concept Dialect = requires(Http::RequestHead const& request, Http::ResponseHead const& response, Http::Fields& fields,
     DispatchHead const& dispatch, Backend const& backend, std::string const& text, bool flag)
--- a/Libraries/LibServing/ErrorResponse.cpp
+++ b/Libraries/LibServing/ErrorResponse.cpp
@@ -33,7 +33,7 @@
     }
 }
 
-/// In seconds, to the millisecond.
+/// Formats a duration in seconds with three decimals.
 static std::string seconds_text(Duration duration)
 {
     std::ostringstream text;
--- a/Libraries/LibServing/ErrorResponse.h
+++ b/Libraries/LibServing/ErrorResponse.h
@@ -11,20 +11,20 @@
 
 namespace Serving {
 
-/// What a caller may conclude from an answer that the system gives in place of a backend server's.
+/// Whether a request has run, as reported to the caller with an error response of this host.
 enum class RequestOutcome : u8 {
-    /// The request has not run and will not; it may be sent again.
+    /// The request has not run and will not run. The caller may send it again.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
-    /// It is not acceptable as it stands.
+    /// The request is invalid and must be changed before it is sent again.
     NotAcceptable,
 };
 
-/// Status of an error: 503 or 429 only where the request has not run.
+/// Returns the HTTP status of an error. 503 and 429 are used only if the request has not run.
 Http::Status status_for(Error const&, RequestOutcome);
 
-/// An answer that the system gives itself. The body names the error's kind and the remedy; Retry-After is in seconds.
+/// Builds an error response of this host. Its body has the kind of the error and a message; Retry-After is in seconds.
 Http::Response error_response(Error const&, RequestOutcome);
 
 }
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -74,7 +74,7 @@
             .with("callers_listen", this->settings.callers_listen);
         this->callers_context = std::make_shared<Http::CallerContext>();
         this->callers_context->on_request
-            = [this](std::shared_ptr<Http::Exchange> exchange) { this->desk.take(std::move(exchange)); };
+            = [this](std::shared_ptr<Http::Exchange> exchange) { this->desk.handle(std::move(exchange)); };
         this->callers_context->on_refused_bytes = [this](std::string const& reason) {
             this->log.event(Core::EventNumber::RequestRefused, "unread").with("reason", reason);
         };
--- a/Libraries/LibServing/HostDirectory.h
+++ b/Libraries/LibServing/HostDirectory.h
@@ -14,8 +14,8 @@
 
 namespace Serving {
 
-/// Where entry hosts find each other: each writes its own address into a table of the platform once, at its start, and
-/// reads those of the others. After that they tell each other, so the platform is not asked again.
+/// Discovers the other entry hosts. At its start, each host writes its address into a table of the platform and reads
+/// those of the others. Later changes are exchanged between the hosts, so the platform is not queried retry_later.
 template<typename Store>
 class HostDirectory {
 public:
@@ -37,44 +37,45 @@
     void start()
     {
         this->store.put(
-            table, this->host.value(), this->own_row.SerializeAsString(), answer_patience, [this](Result<void> done) {
+            table, this->host.value(), this->own_row.SerializeAsString(), response_timeout, [this](Result<void> done) {
                 if (!done)
-                    return this->again([this] { this->start(); });
+                    return this->retry_later([this] { this->start(); });
                 this->read_from({});
             });
     }
 
 private:
-    static constexpr Duration answer_patience = 2s;
-    /// A host that cannot reach the platform at its start decides without the others until it does.
+    static constexpr Duration response_timeout = 2s;
+    /// A host that can't reach the platform at its start retries at this interval and until then decides alone.
     static constexpr Duration retry_delay = 1s;
 
-    /// The table comes in pages. It is told whole: who shares the fleet's limits is counted from it.
+    /// Reads the table page by page. `on_hosts` gets the complete table, since the number of hosts that share the
+    /// fleet's limits is derived from it.
     void read_from(std::string const& first_key)
     {
         if (first_key.empty())
             this->hosts.clear();
-        this->store.list(table, first_key, answer_patience, [this](Result<Platform::RowPage> page) {
+        this->store.list(table, first_key, response_timeout, [this](Result<Platform::RowPage> page) {
             if (!page)
-                return this->again([this] { this->read_from({}); });
+                return this->retry_later([this] { this->read_from({}); });
             for (auto const& row : page.value().rows)
-                this->take(row);
+                this->add_host(row);
             if (page.value().more && !page.value().rows.empty())
                 return this->read_from(Platform::key_after(page.value().rows.back()));
             this->on_hosts(std::move(this->hosts));
         });
     }
 
-    void take(Platform::Row const& row)
+    void add_host(Platform::Row const& row)
     {
         wire::HostAddress host;
-        // A row that is no address is of a version to come; its host will call by itself.
+        // A row that can't be parsed belongs to a host of a newer version, which will connect on its own.
         if (host.ParseFromString(row.value))
             this->hosts.push_back({ Address(host.address()), FailureDomainId(host.failure_domain()) });
     }
 
-    template<typename Again>
-    void again(Again action)
+    template<typename Action>
+    void retry_later(Action action)
     {
         this->timer.expires_after(retry_delay);
         this->timer.async_wait([action](boost::system::error_code error) {
--- a/Libraries/LibServing/HostPlatform.h
+++ b/Libraries/LibServing/HostPlatform.h
@@ -12,8 +12,8 @@
 
 namespace Serving {
 
-/// The platform that a host runs on: where it keeps the configuration and the list of backend servers, how both are
-/// written there, and how callers and backend servers are spoken to.
+/// The platform that a host runs on: the tables with the configuration and the list of backend servers, the encoding of
+/// their rows, and the protocol of callers and backend servers.
 template<typename T>
 concept HostPlatform = Dialect<typename T::Dialect> && Platform::ChangeSource<typename T::Store> && Platform::RowWriter<
     typename T::Store> && requires(Platform::Row const& row)
--- a/Libraries/LibServing/HostSettings.h
+++ b/Libraries/LibServing/HostSettings.h
@@ -12,30 +12,31 @@
 
 namespace Serving {
 
-/// Settings of a HostServer; Base/host.yaml explains each.
+/// Settings of a HostServer; Base/host.yaml describes each.
 struct HostSettings {
     MemberId host;
     FailureDomainId failure_domain;
     Address callers_listen;
     Address readiness_listen;
-    /// Empty: no metrics are served.
+    /// Empty if no metrics are served.
     std::optional<Address> metrics_listen;
     Address platform;
-    /// Where this process listens for the other entry hosts.
+    /// Address at which this process listens for the other entry hosts.
     Address peer_listen;
-    /// Where the other entry hosts reach it; differs from the above behind a port forwarder.
+    /// Address that is announced to the other entry hosts; differs from `peer_listen` behind a port forwarder.
     Address peer_address;
-    /// Time between the signal to stop and the end of the process.
+    /// Maximum time from the stop signal to the end of the process.
     Duration stop_grace { 8s };
-    /// How long a backend server goes on after it has said that it leaves.
+    /// Time for which a backend server continues to run after it has reported that it is leaving.
     Duration drain_time { 2s };
-    /// The longest time for which a backend server can ask this host to send it nothing.
+    /// Maximum backoff that a backend server can request from this host.
     Duration max_back_off { 1h };
     RetryBudget::Limits retry_budget {};
-    /// Reclaimed engines leave in groups, whose changes the pause puts into one call; it is a thirtieth of the shortest
-    /// notice. News reach a domain of 59 hosts in some 10 ms, so that what has not come after the patience is lost.
+    /// Reclaimed engines leave in groups. The pause after changes collects their changes into one call and is a
+    /// thirtieth of the shortest notice. Updates reach all 59 hosts of a failure domain within about 10 ms, so an
+    /// update that has not arrived after `peer_update_timeout` is lost.
     Platform::FollowerTiming follower { .delay_after_changes = 50ms, .peer_update_timeout = 400ms };
-    /// How long entries that lapsed while the platform was away may take to come back.
+    /// Time that entries which expired while the platform was unavailable may take to reappear.
     Duration list_recovery_time { 2s };
     u32 random_seed { 1 };
 };
--- a/Libraries/LibServing/LogRateLimiter.h
+++ b/Libraries/LibServing/LogRateLimiter.h
@@ -12,28 +12,28 @@
 
 namespace Serving {
 
-/// Lets a line about one subject through once in a span of time. It remembers a bounded number of subjects, and lets
-/// lines about others through once it is full.
+/// Allows one log line per subject and period. Tracks a bounded number of subjects; when it is full, it doesn't limit
+/// lines about further subjects.
 class LogRateLimiter {
 public:
-    explicit LogRateLimiter(Duration span)
-        : span(span)
+    explicit LogRateLimiter(Duration period)
+        : period(period)
     {
     }
 
     [[nodiscard]] bool is_due(std::string const& subject, Instant now)
     {
-        std::erase_if(this->written_at, [&](auto const& entry) { return now - entry.second >= this->span; });
-        if (this->written_at.size() >= most_subjects)
+        std::erase_if(this->written_at, [&](auto const& entry) { return now - entry.second >= this->period; });
+        if (this->written_at.size() >= max_subjects)
             return !this->written_at.contains(subject);
         return this->written_at.try_emplace(subject, now).second;
     }
 
 private:
-    /// Twice the entries of the largest list known; some 100 KB.
-    static constexpr size_t most_subjects = 4096;
+    /// Twice the number of entries in the largest known list; takes about 100 KB.
+    static constexpr size_t max_subjects = 4096;
 
-    Duration span;
+    Duration period;
     std::map<std::string, Instant> written_at;
 };
 
--- a/Libraries/LibServing/OperatorTable.h
+++ b/Libraries/LibServing/OperatorTable.h
@@ -11,15 +11,15 @@
 
 namespace Serving {
 
-/// What the operator writes into the platform's table, as this host believes it: the configuration, and the orders to
-/// empty failure domains.
+/// Local view of the operator's table on the platform, which holds the configuration and the orders to evacuate failure
+/// domains.
 template<HostPlatform P>
 class OperatorTable {
 public:
     struct Observer {
-        /// A newer configuration is in force.
+        /// A newer configuration has come into force.
         std::function<void()> configured;
-        /// A row cannot be used.
+        /// A row is invalid.
         std::function<void(Platform::Row const&, Error const&)> rejected;
     };
 
@@ -30,21 +30,21 @@
     {
     }
 
-    /// The whole table at `version`.
+    /// Applies the complete table as of `version`.
     void listed(std::vector<Platform::Row> const& rows, u64 version)
     {
-        // Before the configuration, with which this host becomes ready.
+        // Evacuations come first, because this host becomes ready with its configuration.
         this->evacuations.apply_list(this->evacuations_in(rows), version);
         for (auto const& row : rows)
-            this->take_configuration(row);
+            this->apply_configuration(row);
     }
 
     void changed(std::vector<Platform::RowChange> const& changes)
     {
         for (auto const& change : changes) {
-            this->take_evacuation(change);
+            this->apply_evacuation(change);
             if (!change.removed)
-                this->take_configuration(change.row);
+                this->apply_configuration(change.row);
         }
     }
 
@@ -69,18 +69,18 @@
         return orders;
     }
 
-    void take_evacuation(Platform::RowChange const& change)
+    void apply_evacuation(Platform::RowChange const& change)
     {
         auto domain = P::evacuated_domain(change.row.key);
         if (!domain)
             return;
         if (!change.removed && this->is_evacuation(change.row))
             return this->evacuations.apply_order(*domain, change.row.version);
-        // Bytes that another writer has put there are no order of the operator's.
+        // An invalid row, for example from another writer, is not an order and ends an evacuation like a removal.
         this->evacuations.apply_revocation(*domain, change.row.version);
     }
 
-    void take_configuration(Platform::Row const& row)
+    void apply_configuration(Platform::Row const& row)
     {
         if (!P::is_configuration(row))
             return;
@@ -88,7 +88,7 @@
         if (!decoded)
             return this->observer.rejected(row, decoded.error());
         auto revision = decoded.value().revision;
-        // Never back within one life: an answer of the platform that is behind changes nothing.
+        // Ignore older revisions, which a stale response of the platform may hold.
         if (this->context.routing && revision <= this->context.routing->revision())
             return;
         this->context.routing = std::make_shared<RoutingTable const>(std::move(decoded.value()));
--- a/Libraries/LibServing/PlannedStop.cpp
+++ b/Libraries/LibServing/PlannedStop.cpp
@@ -8,12 +8,12 @@
 
 namespace Serving {
 
-/// How long the balancer in front of the hosts may take to notice that one is not ready: two questions a second apart,
-/// and their answers.
-static constexpr Duration balancer_lag = 2500ms;
-/// Left of the grace for the last answers to leave.
-static constexpr Duration last_answers_margin = 300ms;
-/// Between two looks at what is still open.
+/// Time that the load balancer in front of the hosts may take to notice that a host is not ready: two health checks,
+/// sent a second apart, and their responses.
+static constexpr Duration load_balancer_delay = 2500ms;
+/// Part of the grace period that is reserved for sending the last responses.
+static constexpr Duration last_responses_margin = 300ms;
+/// Interval between checks for open connections.
 static constexpr Duration check_period = 50ms;
 
 PlannedStop::PlannedStop(ServingContext& context, Http::CallerServer& callers, Http::CallerContext& callers_context,
@@ -28,7 +28,7 @@
 
 void PlannedStop::begin()
 {
-    this->began = this->context.now();
+    this->begun_at = this->context.now();
     this->context.leaving = true;
     this->callers_context.closing = true;
     this->context.log.event(Core::EventNumber::ProcessLeaving, this->context.settings.host.value())
@@ -38,15 +38,15 @@
 
 void PlannedStop::check()
 {
-    auto const elapsed = this->context.now() - this->began;
-    // A connection that was accepted as accepting stopped has its turn before the next look.
+    auto const elapsed = this->context.now() - this->begun_at;
+    // A connection accepted just before accepting stopped is counted by the next check.
     bool const had_stopped_accepting = !this->callers.is_accepting();
-    if (elapsed >= balancer_lag) {
+    if (elapsed >= load_balancer_delay) {
         this->callers.stop_accepting();
         this->callers.close_idle_connections(Http::CloseReason::PlannedStop);
     }
     bool const is_drained = had_stopped_accepting && this->callers.open_connections() == 0;
-    if (is_drained || elapsed >= this->context.settings.stop_grace - last_answers_margin)
+    if (is_drained || elapsed >= this->context.settings.stop_grace - last_responses_margin)
         return this->finish();
     this->timer.expires_after(check_period);
     this->timer.async_wait([this](boost::system::error_code error) {
--- a/Libraries/LibServing/PlannedStop.h
+++ b/Libraries/LibServing/PlannedStop.h
@@ -12,8 +12,9 @@
 
 namespace Serving {
 
-/// The way from a stop signal to the end of the process: not ready at once, served on until the balancer has noticed,
-/// then no new connections, and the end when the last open one has its answer or the grace is over.
+/// Graceful shutdown of the process after a stop signal. The host reports at once that it is not ready, but serves
+/// requests until the load balancer has noticed. It then accepts no new connections, and ends when the last open one
+/// has got its response or the grace period is over.
 class PlannedStop {
 public:
     /// `on_end` is called once; the process ends with it.
@@ -29,7 +30,7 @@
     Http::CallerServer& callers;
     Http::CallerContext& callers_context;
     std::function<void()> on_end;
-    Instant began {};
+    Instant begun_at {};
     AK::Timer timer;
 };
 
--- a/Libraries/LibServing/Relays.cpp
+++ b/Libraries/LibServing/Relays.cpp
@@ -11,10 +11,10 @@
 
 std::vector<std::vector<Address>> split_for_relays(std::vector<Address> const& receivers, size_t fan_out)
 {
-    std::vector<std::vector<Address>> parts(std::min(receivers.size(), fan_out));
+    std::vector<std::vector<Address>> groups(std::min(receivers.size(), fan_out));
     for (size_t i = 0; i < receivers.size(); ++i)
-        parts[i % parts.size()].push_back(receivers[i]);
-    return parts;
+        groups[i % groups.size()].push_back(receivers[i]);
+    return groups;
 }
 
 }
--- a/Libraries/LibServing/Relays.h
+++ b/Libraries/LibServing/Relays.h
@@ -11,8 +11,8 @@
 
 namespace Serving {
 
-/// Splits `receivers` into at most `fan_out` parts of nearly the same size. The first of each part is sent a message,
-/// and passes it on to the others of its part.
+/// Splits `receivers` into at most `fan_out` groups of nearly equal size. A message is sent to the first host of each
+/// group, which forwards it to the rest of its group.
 std::vector<std::vector<Address>> split_for_relays(std::vector<Address> const& receivers, size_t fan_out);
 
 }
--- a/Libraries/LibServing/RequestHandler.h
+++ b/Libraries/LibServing/RequestHandler.h
@@ -11,7 +11,8 @@
 
 namespace Serving {
 
-/// Takes callers' requests: checks each against the configuration in force and starts what serves it.
+/// Entry point of callers' requests: validates each against the configuration in force, and starts a Generation or a
+/// ServiceCall for it.
 template<Dialect D>
 class RequestHandler {
 public:
@@ -20,7 +21,7 @@
     {
     }
 
-    void take(std::shared_ptr<Http::Exchange> exchange)
+    void handle(std::shared_ptr<Http::Exchange> exchange)
     {
         auto call = this->admit(exchange);
         if (!call)
@@ -41,9 +42,9 @@
     }
 
 private:
-    /// Wait of a caller whose host does not know its configuration yet; it is read within some hundred milliseconds.
+    /// Retry-After while this host has no configuration yet. It is read within a few hundred milliseconds.
     static constexpr Duration not_ready_retry_after = 300ms;
-    /// Wait of a caller whose host is leaving: another host takes a new connection at once.
+    /// Retry-After while this host is leaving. Another host accepts a new connection immediately.
     static constexpr Duration leaving_retry_after = 50ms;
 
     static std::string_view path_of(std::string_view target) { return target.substr(0, target.find('?')); }
@@ -83,8 +84,8 @@
         if (this->context.leaving && call.route->kind == CallKind::Generation)
             return Error { ErrorKind::Leaving, "this host is leaving; send the request again on a new connection",
                 leaving_retry_after };
-        auto patience = std::min(call.route->timeout, call.head.timeout.value_or(call.route->timeout));
-        call.deadline = exchange->received_at() + patience;
+        auto timeout = std::min(call.route->timeout, call.head.timeout.value_or(call.route->timeout));
+        call.deadline = exchange->received_at() + timeout;
         return call;
     }
 
--- a/Libraries/LibServing/RoutingTable.cpp
+++ b/Libraries/LibServing/RoutingTable.cpp
@@ -10,8 +10,8 @@
 
 namespace Serving {
 
-RoutingTable::RoutingTable(Configuration taken)
-    : configuration(std::move(taken))
+RoutingTable::RoutingTable(Configuration configuration)
+    : configuration(std::move(configuration))
 {
     for (auto const& route : this->configuration.routes)
         this->routes_by_host[route.host].push_back(&route);
--- a/Libraries/LibServing/RoutingTable.h
+++ b/Libraries/LibServing/RoutingTable.h
@@ -13,16 +13,16 @@
 
 namespace Serving {
 
-/// A configuration in force, arranged for look-up. Never changes; a new version is a new table.
+/// Immutable lookup table of a configuration. Each new version gets a new table.
 class RoutingTable {
 public:
     explicit RoutingTable(Configuration);
 
     [[nodiscard]] Revision revision() const { return this->configuration.revision; }
     [[nodiscard]] Http::CallerLimits const& limits() const { return this->configuration.limits; }
-    /// The route of `host` with the longest prefix of `path`; null when there is none.
+    /// Returns the route of `host` with the longest prefix of `path`, or null if none matches.
     [[nodiscard]] Route const* find_route(std::string_view host, std::string_view path) const;
-    /// Who holds `key`; null when nobody does.
+    /// Returns the organisation that owns `key`, or null if it is unknown.
     [[nodiscard]] Organisation const* find_organisation(std::string const& key) const;
     [[nodiscard]] bool requires_keys() const { return !this->configuration.organisations.empty(); }
     [[nodiscard]] Service const* find_service(ServiceName const&) const;
@@ -35,7 +35,7 @@
     std::unordered_map<ServiceName, Service const*> services_by_name;
 };
 
-/// The service that takes an attempt of a caller; the same attempt always gets the same one.
+/// Chooses the service for an attempt of a caller by weight. The same attempt always gets the same service.
 ServiceName const& choose_service(Route const&, std::string_view attempt);
 
 }
--- a/Libraries/LibServing/ServingContext.h
+++ b/Libraries/LibServing/ServingContext.h
@@ -21,7 +21,7 @@
 
 namespace Serving {
 
-/// What every request of this host shares. One loop, one thread.
+/// State that all requests of this host share. It is used from the thread of one event loop only.
 struct ServingContext {
     ServingContext(Http::asio::io_context& loop, HostSettings const& settings, Core::StructuredLog& log)
         : loop(loop)
@@ -48,34 +48,34 @@
     PlacementRate placements;
     ProcessCheck processes;
     Quarantine quarantine;
-    /// Whether this host knows what was held back before it started.
+    /// Whether this host has read the quarantine entries from before its start.
     bool knows_quarantine { false };
-    /// How old what is believed of other domains may be while their hosts are heard.
+    /// Age that estimates of remote failure domains may have while their hosts are reachable.
     Duration remote_estimate_age { 0 };
     boost::random::mt19937 random;
     /// Null until a configuration is known.
     std::shared_ptr<RoutingTable const> routing;
     bool leaving { false };
-    /// To be called when what this host has running at engines has changed.
+    /// To be called when this host's use of engines has changed.
     std::function<void()> use_changed { [] {} };
-    /// To be called when no connection to a backend server could be made; it is avoided here for so long.
+    /// To be called when connecting to a backend server failed. This host avoids it for `avoided`.
     std::function<void(Backend const&, Duration avoided)> backend_unreachable { [](Backend const&, Duration) {} };
-    /// To be called when a backend server has begun to refuse requests, or still does.
+    /// To be called when a backend server refuses requests, on its first refusal and on later ones.
     std::function<void(Backend const&)> backend_refuses { [](Backend const&) {} };
-    /// To be called when a backend server says in an answer that it leaves.
+    /// To be called when a backend server reports in a response that it is leaving.
     std::function<void(Backend const&)> backend_leaves { [](Backend const&) {} };
-    /// To be called when another process has answered in place of a backend server.
+    /// To be called when another process has responded at a backend server's address.
     std::function<void(Backend const&)> backend_terminated { [](Backend const&) {} };
 
-    /// To be called when a backend server has named another limit, or none any more.
+    /// To be called when a backend server has reported a different limit, or no longer reports one.
     std::function<void(Backend const&)> limit_changed { [](Backend const&) {} };
-    /// To be called when this host has found out something of a request under which servers end.
+    /// To be called when this host has new information on a request that terminates servers.
     std::function<void(RequestFingerprint const&)> quarantine_changed { [](RequestFingerprint const&) {} };
-    /// To be called when a request is held back from now on, by whoever's word, or is no longer.
+    /// To be called when a request becomes quarantined, by this host or another one, or is released.
     std::function<void(RequestFingerprint const&, bool is_held)> hold_changed { [](RequestFingerprint const&, bool) {
     } };
 
-    /// The clock that all decisions use; tests choose their own.
+    /// The clock that all decisions use. Tests replace it.
     std::function<Instant()> clock { [] { return AK::BootClock::now(); } };
     [[nodiscard]] Instant now() const { return this->clock(); }
     [[nodiscard]] ChoiceInputs choice_inputs(double other_domain_cost) const
