--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -25,19 +25,20 @@
 
 namespace Serving {
 
-/// One entry host's process: the callers' edge, the decisions and the platform's client on one loop.
+/// The process of one entry host: the HTTP servers for callers, the request handling and the platform's clients, all on
+/// one event loop.
 template<HostPlatform P>
 class Host {
 public:
     using Reload = std::function<Result<HostSettings>()>;
 
-    Host(Http::asio::io_context& loop, HostSettings taken_settings, Core::StructuredLog& log, Reload reload)
+    Host(Http::asio::io_context& loop, HostSettings initial_settings, Core::StructuredLog& log, Reload reload)
         : loop(loop)
-        , settings(std::move(taken_settings))
+        , settings(std::move(initial_settings))
         , log(log)
         , reload(std::move(reload))
         , context(loop, this->settings, log)
-        , desk(this->context)
+        , request_handler(this->context)
         , reporter(this->context)
         , peers(this->context, this->make_peer_observer())
         , backends(this->context,
@@ -74,18 +75,18 @@
             .with("callers_listen", this->settings.callers_listen);
         this->callers_context = std::make_shared<Http::CallerContext>();
         this->callers_context->on_request
-            = [this](std::shared_ptr<Http::Exchange> exchange) { this->desk.handle(std::move(exchange)); };
+            = [this](std::shared_ptr<Http::Exchange> exchange) { this->request_handler.handle(std::move(exchange)); };
         this->callers_context->on_refused_bytes = [this](std::string const& reason) {
             this->log.event(Core::EventNumber::RequestRefused, "unread").with("reason", reason);
         };
         this->callers_context->on_closed
-            = [this](Http::ConnectionClose const& close) { this->note_caller_connection_closed(close); };
+            = [this](Http::ConnectionClose const& close) { this->log_caller_connection_closed(close); };
         this->callers.emplace(this->loop, this->endpoint(this->settings.callers_listen), this->callers_context);
         this->readiness.emplace(this->loop, this->endpoint(this->settings.readiness_listen),
-            make_page([this](Http::Request const&) { return this->readiness_answer(); }));
+            make_page([this](Http::Request const&) { return this->readiness_response(); }));
         if (this->settings.metrics_listen)
             this->metrics.emplace(this->loop, this->endpoint(*this->settings.metrics_listen),
-                make_page([this](Http::Request const&) { return this->metrics_answer(); }));
+                make_page([this](Http::Request const&) { return this->metrics_response(); }));
         this->configuration_follower.set_following(Platform::Following::None);
         this->backend_follower.set_following(Platform::Following::None);
         this->configuration_follower.start();
@@ -109,7 +110,7 @@
         this->tick();
     }
 
-    /// What is believed of an engine's load; nothing for one that is not known.
+    /// Returns the estimated load of an engine; empty if the engine is unknown.
     [[nodiscard]] EngineLoad estimated_load_of(EngineId const& id) const
     {
         auto backend = this->context.backends.find(id);
@@ -118,12 +119,12 @@
 
 private:
     static constexpr Duration tick_period = 50ms;
-    /// A fifth of the tightest goal of a plain call (100 ms).
-    static constexpr Duration shortest_noted_stall = 20ms;
-    /// Hosts that join have no part of the allowance for the first ten seconds, so half a second is soon enough.
+    /// A fifth of the shortest latency goal of a plain call (100 ms).
+    static constexpr Duration min_logged_stall = 20ms;
+    /// A joining host has no share of the allowance for its first ten seconds, so the shares need no faster update.
     static constexpr Duration share_period = 500ms;
-    /// After its start a host first hears from the others which of them follow the platform's tables: two calls of the
-    /// platform and a message each way, some ten milliseconds, with room for a slow start.
+    /// After its start, a host waits for the other hosts to report which of them read the platform's tables. That takes
+    /// two calls of the platform and one message each way, about ten milliseconds; the rest allows for a slow start.
     static constexpr Duration settling_time = 500ms;
 
     static Http::tcp::endpoint endpoint(Address const& address)
@@ -148,16 +149,16 @@
         return !this->context.leaving && this->context.routing && this->backends_known && this->out_of_reach.empty();
     }
 
-    Http::Response readiness_answer()
+    Http::Response readiness_response()
     {
-        if (this->is_ready() && !std::exchange(this->said_ready, true))
+        if (this->is_ready() && !std::exchange(this->has_logged_ready, true))
             this->log.event(Core::EventNumber::ProcessReady, this->settings.host.value())
                 .with("revision", this->context.routing->revision())
                 .with("backends", this->context.backends.all().size());
         return { this->is_ready() ? Http::Status::ok : Http::Status::service_unavailable, 11 };
     }
 
-    Http::Response metrics_answer()
+    Http::Response metrics_response()
     {
         this->context.metrics.set("open_requests", static_cast<double>(this->callers_context->open_requests));
         this->context.metrics.set("log_lines_dropped", static_cast<double>(this->log.dropped_lines()));
@@ -167,7 +168,7 @@
         return response;
     }
 
-    // --- what is believed of the platform
+    // --- tables of the platform
 
     Platform::FollowerObserver make_observer(std::string_view table)
     {
@@ -187,7 +188,7 @@
     {
         auto observer = this->make_observer(P::configuration_table);
         observer.listed = [this](std::vector<Platform::Row> const& rows, u64 version) {
-            this->note_listed(P::configuration_table, rows.size(), version);
+            this->log_listed(P::configuration_table, rows.size(), version);
             this->operator_table.listed(rows, version);
         };
         observer.changed
@@ -206,13 +207,13 @@
             this->backends.platform_regained(this->settings.list_recovery_time);
         };
         observer.listed = [this](std::vector<Platform::Row> const& rows, u64 version) {
-            this->note_listed(P::backend_table, rows.size(), version);
+            this->log_listed(P::backend_table, rows.size(), version);
             this->backends_known = true;
-            this->take_backends(rows);
+            this->apply_backends(rows);
         };
         observer.changed = [this](std::vector<Platform::RowChange> const& changes, u64) {
             for (auto const& change : changes)
-                this->take_backend(change);
+                this->apply_backend(change);
         };
         observer.fetched = [this](Platform::TableUpdate const& news) { this->news.tell(P::backend_table, news); };
         observer.missed = [this](u64 version) { this->news.ask_others(P::backend_table, version); };
@@ -220,7 +221,7 @@
         return observer;
     }
 
-    // --- what hosts tell each other of the platform
+    // --- table updates between hosts
 
     PeerLink::Observer make_peer_observer()
     {
@@ -242,10 +243,11 @@
         return observer;
     }
 
-    /// Readers of the configuration each follow it promptly: it changes seldom, and a call that is held costs nothing
-    /// more. Backend servers come and go all the time, and each change would end a call of every reader: one host of
-    /// all domains follows them promptly, and the first reader of each other domain stands by.
-    void choose_reader()
+    /// Sets how this host follows the platform's tables. All readers follow the configuration promptly: it rarely
+    /// changes, and a pending long poll costs nothing more. The list of backend servers changes all the time, and each
+    /// change would complete a call of every reader. So only one host of all failure domains follows it promptly, and
+    /// the primary reader of each other domain is on standby.
+    void update_following()
     {
         auto now = this->context.now();
         auto const& reach = this->context.reach;
@@ -258,12 +260,12 @@
         this->backend_follower.set_following(followed);
     }
 
-    void note_listed(std::string_view table, size_t count, u64 version)
+    void log_listed(std::string_view table, size_t count, u64 version)
     {
         this->log.event(Core::EventNumber::TableListed, table).with("rows", count).with("version", version);
     }
 
-    void take_backends(std::vector<Platform::Row> const& rows)
+    void apply_backends(std::vector<Platform::Row> const& rows)
     {
         std::vector<BackendServer> servers;
         std::vector<EngineId> unusable;
@@ -279,7 +281,7 @@
         this->backends.listed(servers, unusable);
     }
 
-    void take_backend(Platform::RowChange const& change)
+    void apply_backend(Platform::RowChange const& change)
     {
         if (change.removed)
             return this->backends.removed(EngineId(change.row.key));
@@ -298,9 +300,9 @@
         this->log.event(Core::EventNumber::PlatformContentRejected, row.key).with("reason", error.message);
     }
 
-    /// What a host closes by itself is noted, and what ends a request that has no whole answer. Callers that have their
-    /// answers come and go.
-    void note_caller_connection_closed(Http::ConnectionClose const& close)
+    /// Logs connections that this host closes on its own or that end during a request. Connections that end normally
+    /// after a response are only counted.
+    void log_caller_connection_closed(Http::ConnectionClose const& close)
     {
         auto reason = std::string(to_string(close.reason));
         this->context.metrics.add("caller_connections_closed_total{reason=\"" + reason + "\"}");
@@ -316,39 +318,40 @@
             .with("waited_ms", close.waited);
     }
 
-    // --- life of the process
+    // --- process lifecycle
 
-    void note_lateness()
+    void record_lateness()
     {
         auto lateness = this->context.now() - this->tick_timer.expiry();
         this->context.metrics.observe("loop_lateness_seconds", lateness);
-        if (lateness >= shortest_noted_stall)
+        if (lateness >= min_logged_stall)
             this->log.event(Core::EventNumber::LoopStalled, this->settings.host.value()).with("late_ms", lateness);
     }
 
-    void note_silent_domains(std::vector<FailureDomainId> silent)
+    void log_silent_domains(std::vector<FailureDomainId> silent)
     {
-        auto note = [this](auto const& from, auto const& without, Core::EventNumber event) {
+        auto log_difference = [this](auto const& from, auto const& without, Core::EventNumber event) {
             for (auto const& domain : from) {
                 if (std::ranges::find(without, domain) == without.end())
                     this->context.log.event(event, domain.value());
             }
         };
-        note(silent, this->silent_domains, Core::EventNumber::FailureDomainSilent);
-        note(this->silent_domains, silent, Core::EventNumber::FailureDomainReachable);
+        log_difference(silent, this->silent_domains, Core::EventNumber::FailureDomainSilent);
+        log_difference(this->silent_domains, silent, Core::EventNumber::FailureDomainReachable);
         this->silent_domains = std::move(silent);
     }
 
-    void note_reach()
+    void update_reach()
     {
         auto now = this->context.now();
-        this->note_silent_domains(this->context.reach.silent_domains(now));
+        this->log_silent_domains(this->context.reach.silent_domains(now));
         if (!this->context.routing)
             return;
-        auto lost = services_out_of_reach(this->context.backends, *this->context.routing, this->silent_domains, now);
-        if (lost == this->out_of_reach)
+        auto unreachable
+            = services_out_of_reach(this->context.backends, *this->context.routing, this->silent_domains, now);
+        if (unreachable == this->out_of_reach)
             return;
-        this->out_of_reach = std::move(lost);
+        this->out_of_reach = std::move(unreachable);
         this->log.event(Core::EventNumber::ServicesUnreachable, this->settings.host.value())
             .with("services", this->out_of_reach.size())
             .with("first", this->out_of_reach.empty() ? ServiceName("none") : this->out_of_reach.front());
@@ -357,9 +360,9 @@
     void tick()
     {
         this->backends.tick();
-        this->note_reach();
-        this->choose_reader();
-        this->share_allowance_now_and_then();
+        this->update_reach();
+        this->update_following();
+        this->update_allowance_share();
         this->quarantine_table.tick();
         this->context.connections.drop_unusable();
         this->log.flush();
@@ -367,18 +370,19 @@
         this->tick_timer.async_wait([this](boost::system::error_code error) {
             if (error)
                 return;
-            this->note_lateness();
+            this->record_lateness();
             this->tick();
         });
     }
 
-    /// A walk over all hosts that are known, for a number that changes when hosts come and go.
-    void share_allowance_now_and_then()
+    /// Updates this host's share of the allowance. It walks all known hosts, and the result changes only when hosts are
+    /// added or removed, so it runs once per `share_period`.
+    void update_allowance_share()
     {
         auto const now = this->context.now();
-        if (now < this->next_share)
+        if (now < this->next_share_at)
             return;
-        this->next_share = now + share_period;
+        this->next_share_at = now + share_period;
         share_allowance(this->context.budget, this->context.reach, now);
     }
 
@@ -403,7 +407,7 @@
                 .with("reason", read.error().message);
             return;
         }
-        // Addresses and names are those of the process's start; what can change while it runs is taken over.
+        // Addresses and names are fixed at the start of the process; only the settings below can change while it runs.
         this->settings.stop_grace = read.value().stop_grace;
         this->settings.drain_time = read.value().drain_time;
         this->settings.list_recovery_time = read.value().list_recovery_time;
@@ -423,7 +427,7 @@
     Core::StructuredLog& log;
     Reload reload;
     ServingContext context;
-    RequestHandler<typename P::Dialect> desk;
+    RequestHandler<typename P::Dialect> request_handler;
     EngineReporter<typename P::Dialect> reporter;
     PeerLink peers;
     BackendList backends;
@@ -444,14 +448,14 @@
     Http::asio::signal_set signals;
     AK::Timer tick_timer;
     Instant started_at {};
-    Instant next_share {};
+    Instant next_share_at {};
     std::optional<PlannedStop> stop;
     bool backends_known { false };
-    /// Entries that cannot be read come again with each heartbeat of whoever writes them.
+    /// An invalid entry is reported again with each heartbeat of its writer.
     LogRateLimiter rejected_rows { 1min };
     std::vector<ServiceName> out_of_reach;
     std::vector<FailureDomainId> silent_domains;
-    bool said_ready { false };
+    bool has_logged_ready { false };
 };
 
 }
--- a/Libraries/LibServing/HostDirectory.h
+++ b/Libraries/LibServing/HostDirectory.h
@@ -15,7 +15,7 @@
 namespace Serving {
 
 /// Discovers the other entry hosts. At its start, each host writes its address into a table of the platform and reads
-/// those of the others. Later changes are exchanged between the hosts, so the platform is not queried retry_later.
+/// those of the others. Later changes are exchanged between the hosts, so the platform is not queried again.
 template<typename Store>
 class HostDirectory {
 public:
