--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -164,7 +164,7 @@
     Libraries/LibServing/RequestFlow.h "!error && !this->is_over" "!error"
 
 guard "an engine off the list is asked for its end" TestPlatform \
-    "Scenario: an engine that goes off the list without a word is asked until it says when it ends" \
+    "Scenario: an engine that is removed from the list without notice is polled until it reports when it terminates" \
     Libraries/LibServing/BackendTable.cpp "this->departed[id] = { entry, now };" "(void)now;"
 guard "copies are spread over links" TestLibServing \
     "Scenario: engines that leave together spread their generations over the links of those that stay" \
@@ -210,7 +210,7 @@
 guard "a refusal is believed" TestLibServing "Scenario: engines that refuse do not draw all hosts because they look empty" \
     Libraries/LibServing/BackendTable.cpp " || now < this->health.refused_until" ""
 guard "the table of hosts is read to its end" TestLibServing \
-    "Scenario: a host learns of all hosts that have written themselves into the platform's table" \
+    "Scenario: a host reads all pages of the platform's table of hosts" \
     Libraries/LibServing/HostDirectory.h "page.value().more && " "false && "
 guard "missed changes are awaited from others" TestLibPlatform \
     "Scenario: changes that others know are awaited from them for a while" \
--- a/Tests/LibServing/TestHostDirectory.cpp
+++ b/Tests/LibServing/TestHostDirectory.cpp
@@ -10,9 +10,9 @@
 
 using namespace Serving;
 
-/// The platform's table of hosts, which answers at once and in pages.
+/// A table of the platform that responds synchronously and in pages.
 struct PagedTable {
-    static constexpr size_t rows_of_a_page = 500;
+    static constexpr size_t rows_per_page = 500;
 
     void put(std::string const&, std::string const& key, std::string const& value, Duration,
         std::function<void(Result<void>)> const& on_done)
@@ -26,7 +26,7 @@
     {
         Platform::RowPage page;
         for (auto row = this->rows.lower_bound(first_key); row != this->rows.end(); ++row) {
-            page.more = page.rows.size() == rows_of_a_page;
+            page.more = page.rows.size() == rows_per_page;
             if (page.more)
                 break;
             page.rows.push_back({ row->first, row->second, 1 });
@@ -45,7 +45,7 @@
     return row;
 }
 
-SCENARIO("a host learns of all hosts that have written themselves into the platform's table")
+SCENARIO("a host reads all pages of the platform's table of hosts")
 {
     PagedTable table;
     constexpr int others = 1200;
@@ -54,17 +54,17 @@
     table.rows["of another version"] = "\xff\xff";
 
     boost::asio::io_context loop;
-    std::vector<KnownHost> told;
-    int times = 0;
+    std::vector<KnownHost> found;
+    int call_count = 0;
     HostDirectory<PagedTable> directory(loop, table, MemberId("own"), Address("10.9.0.1:7200"),
         FailureDomainId("hall-0"), [&](std::vector<KnownHost> hosts) {
-            ++times;
-            told = std::move(hosts);
+            ++call_count;
+            found = std::move(hosts);
         });
     directory.start();
-    CHECK(times == 1);
+    CHECK(call_count == 1);
     std::set<Address> addresses;
-    for (auto const& host : told)
+    for (auto const& host : found)
         addresses.insert(host.address);
     CHECK(addresses.size() == others + 1);
     CHECK(addresses.contains(Address("10.9.0.1:7200")));
--- a/Tests/LibServing/TestHostSettings.cpp
+++ b/Tests/LibServing/TestHostSettings.cpp
@@ -16,7 +16,7 @@
     return settings;
 }
 
-static std::string const needed = R"(host:
+static std::string const required = R"(host:
   name: h1
   failure_domain: hall-a
   callers_listen: 127.0.0.1:1
@@ -25,22 +25,22 @@
   platform: 127.0.0.1:4
 )";
 
-SCENARIO("settings of a host are checked as a whole")
+SCENARIO("the settings of a host are validated")
 {
-    CHECK(read(needed).has_value());
-    GIVEN("no address that the others are told") { CHECK(read(needed).value().peer_address == Address("127.0.0.1:3")); }
-    GIVEN("an address that the others are told, and one that is none")
+    CHECK(read(required).has_value());
+    GIVEN("no announced address") { CHECK(read(required).value().peer_address == Address("127.0.0.1:3")); }
+    GIVEN("a valid and an invalid announced address")
     {
-        CHECK(read(needed + "  peer_address: 127.0.0.1:9\n").value().peer_address == Address("127.0.0.1:9"));
-        CHECK_FALSE(read(needed + "  peer_address: elsewhere\n"));
+        CHECK(read(required + "  peer_address: 127.0.0.1:9\n").value().peer_address == Address("127.0.0.1:9"));
+        CHECK_FALSE(read(required + "  peer_address: elsewhere\n"));
     }
-    GIVEN("a value that cannot be used")
+    GIVEN("an invalid value")
     {
-        auto settings = read(needed + "retries:\n  ratio: a lot\n");
+        auto settings = read(required + "retries:\n  ratio: a lot\n");
         REQUIRE_FALSE(settings);
         CHECK(settings.error().message.find("host.yaml:9: retries.ratio: expected a number") != std::string::npos);
     }
-    GIVEN("an address that is none, and one that is missing")
+    GIVEN("an invalid and a missing address")
     {
         auto settings = read("host:\n  name: h1\n  callers_listen: nowhere\n");
         REQUIRE_FALSE(settings);
@@ -49,7 +49,7 @@
     }
 }
 
-SCENARIO("the settings file in Base is a good one")
+SCENARIO("Base/host.yaml is valid")
 {
     auto reader = Core::SettingsReader::load(std::string(LILAC_SOURCE_DIRECTORY) + "/Base/host.yaml");
     REQUIRE(reader);
--- a/Tests/LibServing/TestRelays.cpp
+++ b/Tests/LibServing/TestRelays.cpp
@@ -20,15 +20,15 @@
     return result;
 }
 
-/// Passes a message on as hosts do, and counts what each of them gets; answers the steps that it took.
-static size_t pass_on(std::vector<Address> const& receivers, size_t fan_out, std::multiset<Address>& got)
+/// Forwards a message as hosts do and records every delivery. Returns the number of hops.
+static size_t forward(std::vector<Address> const& receivers, size_t fan_out, std::multiset<Address>& received)
 {
-    size_t steps = 0;
+    size_t hops = 0;
     for (auto const& part : split_for_relays(receivers, fan_out)) {
-        got.insert(part.front());
-        steps = std::max(steps, 1 + pass_on({ part.begin() + 1, part.end() }, fan_out, got));
+        received.insert(part.front());
+        hops = std::max(hops, 1 + forward({ part.begin() + 1, part.end() }, fan_out, received));
     }
-    return steps;
+    return hops;
 }
 
 TEST_CASE("news reach every host once, and no host sends more than its share")
@@ -37,16 +37,16 @@
         auto receivers = hosts(*rc::gen::inRange<size_t>(0, 400));
         auto fan_out = *rc::gen::inRange<size_t>(1, 12);
         RC_ASSERT(split_for_relays(receivers, fan_out).size() <= fan_out);
-        std::multiset<Address> got;
-        pass_on(receivers, fan_out, got);
-        RC_ASSERT(got == std::multiset<Address>(receivers.begin(), receivers.end()));
+        std::multiset<Address> received;
+        forward(receivers, fan_out, received);
+        RC_ASSERT(received == std::multiset<Address>(receivers.begin(), receivers.end()));
     });
 }
 
-SCENARIO("a few steps reach a large failure domain")
+SCENARIO("a few hops reach a large failure domain")
 {
-    std::multiset<Address> got;
-    CHECK(pass_on(hosts(8), 8, got) == 1);
-    CHECK(pass_on(hosts(72), 8, got) == 2);
-    CHECK(pass_on(hosts(320), 8, got) == 3);
+    std::multiset<Address> received;
+    CHECK(forward(hosts(8), 8, received) == 1);
+    CHECK(forward(hosts(72), 8, received) == 2);
+    CHECK(forward(hosts(320), 8, received) == 3);
 }
--- a/Tests/Platform/HostFixture.h
+++ b/Tests/Platform/HostFixture.h
@@ -18,7 +18,7 @@
 using StandIn::PlatformRunner;
 using StandIn::PlatformStore;
 
-/// A caller's request and what has come of it so far.
+/// A caller's request and the part of its response that has been received.
 struct Call {
     unsigned status { 0 };
     std::map<std::string, std::string> headers;
@@ -38,7 +38,7 @@
     }
 };
 
-/// One host with the users' platform around it, all on one loop: the store, runners, and callers.
+/// A host with its platform (store and runners) and its callers, all on one event loop.
 class HostFixture {
 public:
     HostFixture()
@@ -89,7 +89,7 @@
         run_until(this->loop, done);
     }
 
-    /// The operator's row, with a lookup route, a repeatable one and one of generations.
+    /// Writes the operator's configuration with an at-most-once route, a repeatable one and one for generations.
     void put_configuration(u64 version, std::string const& more_routes = {})
     {
         auto route = [](std::string const& name, std::string const& prefix, std::string const& kind,
@@ -127,14 +127,14 @@
         this->store.put("servers", runner.id(), runner.row(this->services[runner.id()], "hall-a", true));
     }
 
-    /// The operator's order that a failure domain gets nothing.
+    /// Writes the operator's order to evacuate a failure domain.
     void evacuate(std::string const& domain, std::string const& value = "{}")
     {
         this->store.put("op", "evacuate/" + domain, value);
     }
     void cancel_evacuation(std::string const& domain) { this->store.remove("op", "evacuate/" + domain); }
 
-    /// It goes off the list without having said that it leaves, and runs on.
+    /// Removes a running backend server from the list although it has not reported that it is leaving.
     void remove_from_list(PlatformRunner& runner) { this->store.remove("servers", runner.id()); }
 
     std::shared_ptr<Call> send(Http::Request request, Http::tcp::endpoint const& endpoint)
@@ -187,15 +187,15 @@
 
     bool is_ready()
     {
-        auto asked = this->send(Http::Request(Http::Verb::get, "/ready", 11), this->readiness_endpoint);
-        this->until([&] { return asked->is_over(); });
-        return asked->status == 200;
+        auto exchange = this->send(Http::Request(Http::Verb::get, "/ready", 11), this->readiness_endpoint);
+        this->until([&] { return exchange->is_over(); });
+        return exchange->status == 200;
     }
     std::string metrics_text()
     {
-        auto asked = this->send(Http::Request(Http::Verb::get, "/metrics", 11), this->metrics_endpoint);
-        this->until([&] { return asked->is_over(); });
-        return asked->body;
+        auto exchange = this->send(Http::Request(Http::Verb::get, "/metrics", 11), this->metrics_endpoint);
+        this->until([&] { return exchange->is_over(); });
+        return exchange->body;
     }
 
     bool log_has(std::string const& text)
--- a/Tests/Platform/TestGenerations.cpp
+++ b/Tests/Platform/TestGenerations.cpp
@@ -9,7 +9,7 @@
 using Test::HostFixture;
 using Fault = StandIn::PlatformRunner::Fault;
 
-/// Numbers of the events that a caller has got, as a list with commas.
+/// Returns the event numbers in a response body as a comma-separated list.
 static std::string numbers_in(std::string const& body)
 {
     std::string numbers;
@@ -29,13 +29,13 @@
     auto call = fixture.call(HostFixture::generation("g1"));
     fixture.until([&] { return engine.running_count() == 1; });
 
-    WHEN("events are made")
+    WHEN("the engine generates events")
     {
         engine.make_events();
         fixture.until([&] { return call->event_count() == 1; });
         engine.make_events();
         fixture.until([&] { return call->event_count() == 2; });
-        THEN("each arrives as it is made, and the end is told as such")
+        THEN("each event is relayed at once, and the stream ends as complete")
         {
             CHECK_FALSE(call->is_over());
             engine.finish_all();
@@ -45,47 +45,47 @@
             CHECK(call->headers["Lilactiller-Response-Stamp"] == "stamp-of-engine-1");
         }
     }
-    WHEN("the engine ends in the middle")
+    WHEN("the engine terminates during the stream")
     {
         engine.make_events();
         fixture.until([&] { return call->event_count() == 1; });
         engine.end();
         fixture.until([&] { return call->is_over(); });
-        THEN("the stream does not look complete")
+        THEN("the stream ends as truncated")
         {
             CHECK(call->end == Http::ExchangeEnd::Truncated);
             CHECK(fixture.log_has("event=E2204 stream_failed subject=g1"));
         }
     }
-    WHEN("the list has a later start of the engine, and the former one's connection is silent")
+    WHEN("the list has a later start of the engine, and the old connection stays open without data")
     {
         engine.make_events();
         fixture.until([&] { return call->event_count() == 1; });
         engine.set_start(1'790'000'005'000);
         fixture.store.put("servers", "engine-1", engine.row("models", "hall-a"));
         fixture.until([&] { return call->is_over(); });
-        THEN("the stream ends with the process that made it")
+        THEN("the stream ends as truncated, since its process has been replaced")
         {
             CHECK(call->end == Http::ExchangeEnd::Truncated);
             CHECK(fixture.log_has("another process has taken its place"));
         }
-        AND_THEN("the next one is given to the new process")
+        AND_THEN("the next generation is dispatched to the new process")
         {
             auto next = fixture.call(HostFixture::generation("g2"));
             fixture.until([&] { return engine.is_running("g2"); });
         }
     }
-    WHEN("the caller leaves")
+    WHEN("the caller disconnects")
     {
         call->connection->cancel();
-        THEN("the engine's work ends")
+        THEN("the run at the engine is cancelled")
         {
             fixture.until([&] { return engine.dropped_count() == 1; });
         }
     }
 }
 
-SCENARIO("a generation that no engine takes is refused at once")
+SCENARIO("a generation that no engine accepts is refused at once")
 {
     HostFixture fixture;
     auto& engine = fixture.add_runner("engine-1", "models");
@@ -99,7 +99,7 @@
 SCENARIO("a generation outlives its engine")
 {
     HostFixture fixture;
-    // No run is stopped by the clock here, only when its engine says when it ends.
+    // Long enough that runs are stopped only by the termination time that their engine reports.
     fixture.drain_time = 60s;
     auto& old_engine = fixture.add_runner("engine-1", "models");
     fixture.start_ready_host();
@@ -120,13 +120,13 @@
         CHECK(new_engine.runs().empty());
     };
 
-    WHEN("the engine says that it leaves")
+    WHEN("the engine reports that it is leaving")
     {
         fixture.drain(old_engine);
         fixture.until([&] { return fixture.log_has("subject=engine-1 state=leaving"); });
         old_engine.make_events();
         fixture.until([&] { return fixture.log_has("event=E2109 generation_copied subject=g3"); });
-        THEN("the run is stopped there only when its memory is elsewhere, and goes on with the next event")
+        THEN("the run stops only after its memory was copied, and resumes with the next event")
         {
             old_engine.make_events();
             fixture.until([&] { return call->event_count() == 3; });
@@ -135,14 +135,14 @@
             CHECK(numbers_in(call->body) == "1,2,3,4");
             CHECK(fixture.log_has("event=E2110 generation_moved subject=g3 from=engine-1 to=engine-2"));
         }
-        THEN("new generations do not go there")
+        THEN("new generations are not dispatched to it")
         {
             auto other = fixture.call(HostFixture::generation("g4"));
             fixture.until([&] { return new_engine.runs().contains("g4"); });
             CHECK_FALSE(old_engine.runs().contains("g4"));
         }
     }
-    WHEN("the domain of the engine that holds the first copy is emptied before the second")
+    WHEN("the domain of the engine with the first copy is evacuated before the second copy")
     {
         auto& other_engine = fixture.add_runner("engine-3", "models", "hall-b");
         fixture.until([&] { return fixture.log_has("subject=engine-3"); });
@@ -152,7 +152,7 @@
         fixture.until(
             [&] { return fixture.log_has("event=E2109 generation_copied subject=g3 from=engine-1 to=engine-2"); });
         fixture.evacuate("hall-a");
-        THEN("it goes on at an engine of another one")
+        THEN("the generation resumes at an engine of another domain")
         {
             fixture.until(
                 [&] { return fixture.log_has("event=E2109 generation_copied subject=g3 from=engine-1 to=engine-3"); });
@@ -166,27 +166,27 @@
             CHECK(new_engine.received().empty());
         }
     }
-    WHEN("it ends after the first copy and before the second")
+    WHEN("the engine terminates between the first copy and the second")
     {
         fixture.drain(old_engine);
         fixture.until([&] { return fixture.log_has("subject=engine-1 state=leaving"); });
         old_engine.make_events();
         fixture.until([&] { return fixture.log_has("event=E2109 generation_copied subject=g3"); });
         old_engine.end();
-        THEN("the generation goes on from the first copy")
+        THEN("the generation resumes from the first copy")
         {
             finish();
             CHECK(numbers_in(call->body) == "1,2,3");
         }
     }
-    WHEN("the engine that would take it has ended, and the list still has it")
+    WHEN("the target engine has terminated, and the list still has it")
     {
         new_engine.end();
         fixture.drain(old_engine);
         fixture.until([&] { return fixture.log_has("subject=engine-1 state=leaving"); });
         old_engine.make_events();
         fixture.until([&] { return fixture.log_has("event=E2111 move_failed subject=g3"); });
-        THEN("the copy is refused, and the run goes on where it is")
+        THEN("the copy is refused, and the run continues at its engine")
         {
             CHECK(fixture.log_has("status 503 for a copy"));
             CHECK_FALSE(call->is_over());
@@ -197,7 +197,7 @@
             CHECK(numbers_in(call->body) == "1,2,3");
         }
     }
-    WHEN("the run comes to its end while a copy waits for the hand-over")
+    WHEN("the run completes between the first copy and the handover")
     {
         fixture.drain(old_engine);
         fixture.until([&] { return fixture.log_has("subject=engine-1 state=leaving"); });
@@ -205,7 +205,7 @@
         fixture.until([&] { return fixture.log_has("event=E2109 generation_copied subject=g3"); });
         old_engine.finish_all();
         fixture.until([&] { return call->is_over(); });
-        THEN("the stream is complete, and nothing runs elsewhere")
+        THEN("the stream is complete, and nothing runs at the target")
         {
             CHECK(call->end == Http::ExchangeEnd::Complete);
             CHECK(numbers_in(call->body) == "1,2");
@@ -214,10 +214,10 @@
     }
 }
 
-SCENARIO("a run is stopped by what its engine says of its end, however late it says so")
+SCENARIO("a run is stopped by the termination time that its engine reports, however late the report")
 {
     HostFixture fixture;
-    // Without a word of the engine the run would go on for this long.
+    // Without a report of the engine the run would continue for this long.
     fixture.drain_time = 60s;
     auto& old_engine = fixture.add_runner("engine-1", "models");
     fixture.start_ready_host();
@@ -237,10 +237,10 @@
     CHECK(numbers_in(call->body) == "1,2");
 }
 
-SCENARIO("an engine that goes off the list without a word is asked until it says when it ends")
+SCENARIO("an engine that is removed from the list without notice is polled until it reports when it terminates")
 {
     HostFixture fixture;
-    // Without a word of the engine the run would go on for this long.
+    // Without a report of the engine the run would continue for this long.
     fixture.drain_time = 60s;
     auto& old_engine = fixture.add_runner("engine-1", "models");
     fixture.start_ready_host();
@@ -252,7 +252,7 @@
     fixture.until([&] { return fixture.log_has("event=E2307 backend_server_gone subject=engine-1"); });
     old_engine.make_events();
     fixture.until([&] { return fixture.log_has("event=E2109 generation_copied subject=g6"); });
-    // The first report was from before its notice.
+    // Its first report came before its notice and had no termination time.
     old_engine.set_leaves_in(1200);
     fixture.until(
         [&] { return fixture.log_has("event=E2109 generation_copied subject=g6 from=engine-1 to=engine-2 last=1"); });
@@ -264,7 +264,7 @@
     CHECK(numbers_in(call->body) == "1,2");
 }
 
-SCENARIO("the largest generation of an engine that leaves is copied first")
+SCENARIO("the largest generation of a leaving engine is copied first")
 {
     HostFixture fixture;
     auto& old_engine = fixture.add_runner("engine-1", "models");
--- a/Tests/Platform/TestPlatformUpdates.cpp
+++ b/Tests/Platform/TestPlatformUpdates.cpp
@@ -19,7 +19,7 @@
     fixture.start_ready_host();
     REQUIRE(fixture.finished_call(HostFixture::request("/extra/1", "e1"))->status == 404);
 
-    WHEN("a newer version comes")
+    WHEN("a newer version is written")
     {
         fixture.put_configuration(9, extra_route);
         fixture.until([&] { return fixture.log_has("event=E1201 revision_in_force subject=9"); });
@@ -35,42 +35,42 @@
             CHECK_FALSE(fixture.log_has("subject=8"));
         }
     }
-    WHEN("the platform forgets its history while a change is made")
+    WHEN("the platform loses its history of changes while a change is made")
     {
         fixture.put_configuration(9, extra_route);
         fixture.store.forget_history();
-        THEN("the table is read as a whole again")
+        THEN("the complete table is read again")
         {
             fixture.until([&] { return fixture.log_has("event=E1201 revision_in_force subject=9"); });
             CHECK(fixture.finished_call(HostFixture::request("/extra/1", "e4"))->status == 200);
         }
     }
-    WHEN("the platform shows an older state than before")
+    WHEN("the platform returns an older state than before")
     {
         fixture.store.set_behind(5);
         fixture.put_configuration(9, extra_route);
         fixture.until([&] { return fixture.log_has("older state"); });
         CHECK(fixture.finished_call(HostFixture::request("/extra/1", "e5"))->status == 404);
-        THEN("it is believed again once it has caught up")
+        THEN("its changes are applied again once it has caught up")
         {
             fixture.store.set_behind(0);
             fixture.until([&] { return fixture.log_has("event=E1201 revision_in_force subject=9"); });
         }
     }
-    WHEN("a version cannot be understood")
+    WHEN("a version is invalid")
     {
         fixture.store.put("op", "config", R"({"version":12,"routes":[{"name":"half"}]})");
         fixture.until([&] { return fixture.log_has("event=E1304 platform_content_rejected subject=config"); });
-        THEN("the earlier one stays in force")
+        THEN("the previous version stays in force")
         {
             CHECK(fixture.finished_call(HostFixture::request("/lookup/1", "e6"))->status == 200);
         }
     }
-    WHEN("the platform falls silent")
+    WHEN("the platform stops responding")
     {
         fixture.store.set_mode(Mode::Silent);
         fixture.until([&] { return fixture.log_has("event=E1301 platform_unavailable subject=op"); });
-        THEN("the host serves on, and follows again when the platform is back")
+        THEN("the host continues to serve, and applies changes again when the platform is available")
         {
             CHECK(fixture.finished_call(HostFixture::request("/lookup/1", "e7"))->status == 200);
             fixture.store.set_mode(Mode::Serving);
@@ -80,7 +80,7 @@
     }
 }
 
-SCENARIO("a host finds others through the platform's table, and they tell each other what they run")
+SCENARIO("hosts discover each other in the platform's table and announce what they run")
 {
     HostFixture first;
     auto& engine = first.add_runner("engine-1", "models");
@@ -117,17 +117,17 @@
         return fixture.finished_call(HostFixture::request("/lookup/1", attempt))->status;
     };
 
-    WHEN("it was given before the host started")
+    WHEN("the order was given before the host started")
     {
         fixture.evacuate("hall-a");
         fixture.start_ready_host();
-        THEN("the host knows it before it is ready")
+        THEN("the host has applied it when it becomes ready")
         {
             CHECK(status_of("v1") == 200);
             CHECK(lane_a.received().empty());
         }
     }
-    WHEN("it is given while the host serves")
+    WHEN("the order is given while the host serves requests")
     {
         fixture.start_ready_host();
         auto stream_engine = &fixture.add_runner("engine-a", "models", "hall-a");
@@ -136,7 +136,7 @@
         fixture.until([&] { return stream_engine->running_count() == 1; });
         fixture.evacuate("hall-a");
         fixture.until([&] { return fixture.log_has("event=E2310 domain_evacuated subject=hall-a"); });
-        THEN("calls go elsewhere, new generations are refused at once, and what runs there goes on")
+        THEN("calls go to another domain, new generations are refused at once, and running ones continue")
         {
             auto const before = lane_a.received().size();
             CHECK(status_of("v3") == 200);
@@ -150,29 +150,29 @@
             CHECK(stream->end == Http::ExchangeEnd::Complete);
             CHECK(stream->event_count() == 1);
         }
-        AND_WHEN("all domains are emptied")
+        AND_WHEN("all domains are evacuated")
         {
             fixture.evacuate("hall-b");
             fixture.until([&] { return fixture.log_has("subject=hall-b"); });
             CHECK(status_of("v5") == 503);
         }
-        AND_WHEN("it is taken back")
+        AND_WHEN("the order is cancelled")
         {
             fixture.cancel_evacuation("hall-a");
             fixture.until([&] { return fixture.log_has("event=E2311 domain_evacuation_taken_back subject=hall-a"); });
             auto again = fixture.call(HostFixture::generation("v6"));
             fixture.until([&] { return stream_engine->running_count() == 2; });
         }
-        AND_WHEN("the platform forgets its history while it is taken back")
+        AND_WHEN("the platform loses its history of changes while the order is cancelled")
         {
             fixture.cancel_evacuation("hall-a");
             fixture.store.forget_history();
             fixture.until([&] { return fixture.log_has("event=E2311 domain_evacuation_taken_back subject=hall-a"); });
         }
-        AND_WHEN("another writer puts something else in its place")
+        AND_WHEN("another writer replaces the order by an invalid row")
         {
             fixture.evacuate("hall-a", "[1, 2");
-            THEN("that empties nothing, and is told")
+            THEN("the evacuation ends, and the invalid row is logged")
             {
                 fixture.until(
                     [&] { return fixture.log_has("event=E1304 platform_content_rejected subject=evacuate/hall-a"); });
@@ -212,8 +212,8 @@
         other_log.flush();
         return second_log.find("event=E2310 domain_evacuated subject=hall-a") != std::string::npos;
     });
-    auto asked = first.send(HostFixture::request("/lookup/1", "v7"), callers);
-    first.until([&] { return asked->is_over(); });
-    CHECK(asked->status == 200);
+    auto exchange = first.send(HostFixture::request("/lookup/1", "v7"), callers);
+    first.until([&] { return exchange->is_over(); });
+    CHECK(exchange->status == 200);
     CHECK(lane_a.received().empty());
 }
--- a/Tests/Platform/TestRows.cpp
+++ b/Tests/Platform/TestRows.cpp
@@ -15,7 +15,7 @@
 
 namespace Json = boost::json;
 
-static Json::object good_entry()
+static Json::object valid_entry()
 {
     return { { "service", "models" }, { "addr", "10.0.0.9:8080" }, { "zone", "hall-a" }, { "version", "v1" },
         { "slots", 24 }, { "state", "ready" }, { "cold_left_ms", 1500.5 }, { "stage", "both" },
@@ -29,8 +29,8 @@
 
 static Result<Serving::BackendServer> decode(Json::object const& entry) { return decode(Json::serialize(entry)); }
 
-/// Nothing that is decoded may leave these bounds, whatever the entry was.
-static bool is_refused_or_usable(Result<Serving::BackendServer> const& read)
+/// Whether an entry was rejected or all its decoded values are within their bounds.
+static bool is_rejected_or_in_bounds(Result<Serving::BackendServer> const& read)
 {
     if (!read)
         return true;
@@ -42,7 +42,7 @@
 
 SCENARIO("a backend server's entry is read, or names no server")
 {
-    auto entry = good_entry();
+    auto entry = valid_entry();
     auto read = decode(entry);
     REQUIRE(read);
     CHECK(read.value().id == EngineId("i-1"));
@@ -56,12 +56,12 @@
         entry["state"] = "draining";
         CHECK(decode(entry).value().is_leaving);
     }
-    WHEN("it does not tell its start")
+    WHEN("it has no start")
     {
         entry.erase("born");
         CHECK(decode(entry).value().start == ServerStart(0));
     }
-    WHEN("it has fields that are not known")
+    WHEN("it has unknown fields")
     {
         entry["colour"] = Json::array { 1, 2 };
         CHECK(decode(entry));
@@ -77,35 +77,35 @@
         entry[name] = GENERATE(0, 1, 2) == 0 ? Json::value(Json::array {}) : Json::value(nullptr);
         CHECK_FALSE(decode(entry));
     }
-    WHEN("a number is absurd")
+    WHEN("a number is out of range")
     {
         auto const* name = GENERATE("slots", "cold_left_ms", "born");
         entry[name] = GENERATE(-1.0, -1e300, 1e300, 1e19);
         CHECK_FALSE(decode(entry));
     }
-    WHEN("a number that must be whole is not")
+    WHEN("an integer field has a fraction")
     {
         entry[GENERATE("slots", "born")] = 12.5;
         CHECK_FALSE(decode(entry));
     }
-    WHEN("its state is not named")
+    WHEN("its state is unknown")
     {
         entry["state"] = GENERATE("", "READY", "starting");
         CHECK_FALSE(decode(entry));
     }
-    WHEN("its address is none")
+    WHEN("its address is invalid")
     {
         entry["addr"] = GENERATE("", "10.0.0.9", "10.0.0.9:", "10.0.0.9:99999", "somewhere:80", "10.0.0.9:80 ");
         CHECK_FALSE(decode(entry));
     }
-    WHEN("its bytes are no entry")
+    WHEN("its bytes are not an entry")
     {
         CHECK_FALSE(decode(std::string(GENERATE("", "null", "[]", "{", "\xff\xfe", "{\"service\":\"\xc3\x28\"}"))));
         CHECK_FALSE(decode(std::string(100'000, '[')));
     }
 }
 
-static bool is_refused_or_usable(Result<Serving::Configuration> const& read)
+static bool is_rejected_or_in_bounds(Result<Serving::Configuration> const& read)
 {
     if (!read)
         return true;
@@ -114,8 +114,8 @@
     });
 }
 
-/// Changes some bytes of a text, or cuts it.
-static std::string damaged(std::string text, std::vector<std::pair<u32, u8>> const& changes)
+/// Corrupts or truncates a text.
+static std::string corrupted(std::string text, std::vector<std::pair<u32, u8>> const& changes)
 {
     for (auto const& [where, what] : changes) {
         if (text.empty())
@@ -131,19 +131,19 @@
 SCENARIO("whatever bytes an entry holds, it is read within bounds or names no server")
 {
     rc::prop("damaged entries", [](std::vector<std::pair<u32, u8>> const& changes) {
-        RC_ASSERT(is_refused_or_usable(decode(damaged(Json::serialize(good_entry()), changes))));
+        RC_ASSERT(is_rejected_or_in_bounds(decode(corrupted(Json::serialize(valid_entry()), changes))));
     });
     rc::prop("any number in any field", [](double number) {
-        auto entry = good_entry();
+        auto entry = valid_entry();
         auto const names
             = std::to_array<std::string>({ "service", "addr", "zone", "slots", "state", "cold_left_ms", "born" });
         entry[*rc::gen::elementOf(names)] = number;
-        RC_ASSERT(is_refused_or_usable(decode(entry)));
+        RC_ASSERT(is_rejected_or_in_bounds(decode(entry)));
     });
     rc::prop("any bytes", [](std::string const& bytes) { RC_ASSERT(!decode(bytes)); });
 }
 
-SCENARIO("whatever bytes the configuration or a report holds, nothing is thrown")
+SCENARIO("decoding corrupted bytes of a configuration or a report throws nothing")
 {
     Json::object const configuration { { "version", 7 },
         { "routes",
@@ -156,20 +156,20 @@
         { "tenants", Json::array { Json::object { { "name", "plaza" }, { "api_keys", Json::array { "k" } } } } } };
     REQUIRE(Adapter::decode_configuration({ "config", Json::serialize(configuration), 7 }));
     rc::prop("damaged configurations", [&](std::vector<std::pair<u32, u8>> const& changes) {
-        auto read = Adapter::decode_configuration({ "config", damaged(Json::serialize(configuration), changes), 7 });
-        RC_ASSERT(is_refused_or_usable(read));
+        auto read = Adapter::decode_configuration({ "config", corrupted(Json::serialize(configuration), changes), 7 });
+        RC_ASSERT(is_rejected_or_in_bounds(read));
     });
     Json::object const report { { "stage", "both" }, { "waiting", 1 }, { "running", 12 }, { "kv_used", 41000 },
         { "kv_total", 90000 }, { "state", "draining" }, { "leaves_ms", 1500 }, { "born", 17 } };
     REQUIRE(Adapter::Dialect::decode_engine_report(Json::serialize(report)).value().start == ServerStart(17));
     rc::prop("damaged reports", [&](std::vector<std::pair<u32, u8>> const& changes) {
-        auto read = Adapter::Dialect::decode_engine_report(damaged(Json::serialize(report), changes));
-        bool const is_refused_or_usable = !read || read.value().used >= TokenCount(0);
-        RC_ASSERT(is_refused_or_usable);
+        auto read = Adapter::Dialect::decode_engine_report(corrupted(Json::serialize(report), changes));
+        bool const is_rejected_or_in_bounds = !read || read.value().used >= TokenCount(0);
+        RC_ASSERT(is_rejected_or_in_bounds);
     });
 }
 
-SCENARIO("the order to empty a failure domain is read, or empties nothing")
+SCENARIO("an invalid order to evacuate a failure domain is rejected")
 {
     CHECK(Adapter::evacuated_domain("evacuate/hall-a") == FailureDomainId("hall-a"));
     CHECK_FALSE(Adapter::evacuated_domain("evacuate/"));
@@ -187,7 +187,7 @@
     });
 }
 
-SCENARIO("what a cold server bears is read within bounds")
+SCENARIO("the request rate of cold servers is clamped to its bounds")
 {
     auto rate_of = [](Json::value const& rate) {
         Json::object const configuration { { "version", 7 }, { "routes", Json::array {} },
@@ -203,7 +203,7 @@
     CHECK(rate_of("many") == 0);
 }
 
-SCENARIO("a limit that an answer names is read, or is none")
+SCENARIO("an invalid limit in a response is ignored")
 {
     auto limit_in = [](std::string const& text) {
         Http::ResponseHead head;
@@ -220,9 +220,9 @@
     CHECK(!Adapter::Dialect::decode_response({}).limit);
 }
 
-SCENARIO("the back-off that a refusal asks for is read, or is none")
+SCENARIO("an invalid backoff in a refusal is ignored")
 {
-    auto asked = [](Http::Status status, std::vector<std::string> const& values) {
+    auto back_off_in = [](Http::Status status, std::vector<std::string> const& values) {
         Http::ResponseHead head;
         head.result(status);
         for (auto const& value : values)
@@ -230,35 +230,35 @@
         return Adapter::Dialect::decode_response(head).back_off_for;
     };
     auto const refused = Http::Status::service_unavailable;
-    CHECK(asked(refused, { "3" }) == Duration(3s));
-    CHECK(asked(refused, { "0.25" }) == Duration(250ms));
-    CHECK(asked(Http::Status::too_many_requests, { "1" }) == Duration(1s));
-    CHECK(asked(refused, { "31536000" }) == Duration(8760h));
-    WHEN("the head names several times")
+    CHECK(back_off_in(refused, { "3" }) == Duration(3s));
+    CHECK(back_off_in(refused, { "0.25" }) == Duration(250ms));
+    CHECK(back_off_in(Http::Status::too_many_requests, { "1" }) == Duration(1s));
+    CHECK(back_off_in(refused, { "31536000" }) == Duration(8760h));
+    WHEN("the head has several backoffs")
     {
-        THEN("the longest holds") { CHECK(asked(refused, { "1", "4", "x" }) == Duration(4s)); }
+        THEN("the longest is used") { CHECK(back_off_in(refused, { "1", "4", "x" }) == Duration(4s)); }
     }
-    WHEN("it names a time beyond measure")
+    WHEN("the backoff is out of range")
     {
-        THEN("it is a bounded one") { CHECK(asked(refused, { "1e300" }) == Duration(8784h)); }
+        THEN("it is clamped") { CHECK(back_off_in(refused, { "1e300" }) == Duration(8784h)); }
     }
-    WHEN("it names none that is one")
+    WHEN("the value is not a number of seconds")
     {
         for (auto const* text :
             { "", "0", "-3", "3 s", "soon", "inf", "nan", "1e999", "Thu, 03 Dec 2026 12:00:00 GMT" }) {
             INFO(text);
-            CHECK(!asked(refused, { text }));
+            CHECK(!back_off_in(refused, { text }));
         }
     }
-    WHEN("the answer is no refusal")
+    WHEN("the response is not a refusal")
     {
-        CHECK(!asked(Http::Status::ok, { "3" }));
-        CHECK(!asked(Http::Status::internal_server_error, { "3" }));
+        CHECK(!back_off_in(Http::Status::ok, { "3" }));
+        CHECK(!back_off_in(Http::Status::internal_server_error, { "3" }));
     }
     CHECK(!Adapter::Dialect::decode_response({}).back_off_for);
 }
 
-SCENARIO("that a backend server leaves is read in answers of any status")
+SCENARIO("responses of any status report that a backend server is leaving")
 {
     auto leaves = [](Http::Status status, std::vector<std::string> const& values) {
         Http::ResponseHead head;
@@ -280,7 +280,7 @@
 
 namespace {
 
-/// All that is decoded of an answer's head.
+/// Formats all values that are decoded from a response head.
 std::string described(Serving::BackendResponseHead const& answer)
 {
     std::ostringstream text;
@@ -289,7 +289,8 @@
     return text.str();
 }
 
-/// The headers in the first table of docs/PLATFORM.md on answers, and whether it says that something reads them.
+/// Returns the headers in the first table on responses of docs/PLATFORM.md, and whether it documents that they are
+/// read.
 std::map<std::string, bool> headers_of_page()
 {
     std::ifstream page(std::string(LILAC_SOURCE_DIRECTORY) + "/docs/PLATFORM.md");
@@ -305,7 +306,7 @@
 
 }
 
-SCENARIO("each header that the page lists is read, or is not, as it says")
+SCENARIO("exactly the response headers that docs/PLATFORM.md documents as read are read")
 {
     std::map<std::string, std::string> const samples { { "Lilactiller-Attempt-Id", "a1" },
         { "Lilactiller-Response-Stamp", "s" }, { "Lilactiller-Not-Executed", "1" },
