--- a/Tests/LibServing/TestRelays.cpp
+++ b/Tests/LibServing/TestRelays.cpp
@@ -24,9 +24,9 @@
 static size_t forward(std::vector<Address> const& receivers, size_t fan_out, std::multiset<Address>& received)
 {
     size_t hops = 0;
-    for (auto const& part : split_for_relays(receivers, fan_out)) {
-        received.insert(part.front());
-        hops = std::max(hops, 1 + forward({ part.begin() + 1, part.end() }, fan_out, received));
+    for (auto const& group : split_for_relays(receivers, fan_out)) {
+        received.insert(group.front());
+        hops = std::max(hops, 1 + forward({ group.begin() + 1, group.end() }, fan_out, received));
     }
     return hops;
 }
