--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -53,7 +53,7 @@
             return this->respond_quarantined(*left);
         }
         auto const& candidates = this->context.backends.of_service(this->call.service->name);
-        AdmissionDemand const demand { this->need(), this->call.route->latency_goal - this->held_for() };
+        AdmissionDemand const demand { this->need(), this->call.route->latency_goal - this->elapsed() };
         auto const decision = admit(candidates, this->tried, demand, this->traits().memory,
             this->context.choice_inputs(other_domain_cost), this->context.random);
         if (decision.verdict != AdmissionVerdict::Admit)
@@ -476,7 +476,7 @@
     {
         this->context.log.event(Core::EventNumber::CallerLeft, this->attempt())
             .with("events", this->order.count())
-            .with("held_ms", this->held_for());
+            .with("held_ms", this->elapsed());
         this->abandon();
     }
 
@@ -490,7 +490,7 @@
             .with("events", this->order.count())
             .with("longest_gap_ms", this->max_gap)
             .with("pause_goal_ms", this->call.route->event_gap_goal)
-            .with("held_ms", this->held_for());
+            .with("held_ms", this->elapsed());
     }
 
     void abandon()
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -71,7 +71,7 @@
     [[nodiscard]] std::string const& attempt() const { return this->call.head.attempt; }
     [[nodiscard]] Http::Exchange& exchange() const { return *this->call.exchange; }
     /// Time since the request was received.
-    [[nodiscard]] Duration held_for() const { return this->context.now() - this->exchange().received_at(); }
+    [[nodiscard]] Duration elapsed() const { return this->context.now() - this->exchange().received_at(); }
     /// Takes one further dispatch from the service's retry budget. Returns false if the budget is exhausted.
     [[nodiscard]] bool consume_retry_budget()
     {
@@ -110,7 +110,7 @@
             .with("status", static_cast<int>(status))
             .with("route", this->call.route->name)
             .with("organisation", this->call.organisation)
-            .with("held_ms", this->held_for())
+            .with("held_ms", this->elapsed())
             .with("reason", error.message);
         this->exchange().answer(error_response(error, outcome));
     }
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -148,14 +148,14 @@
     void relay_response()
     {
         auto response = this->template make_relayed_response<D>();
-        this->context.metrics.observe("call_seconds", this->held_for());
+        this->context.metrics.observe("call_seconds", this->elapsed());
         this->context.log.event(Core::EventNumber::ServiceCallEnded, this->attempt())
             .with("backend", this->tried.back())
             .with("status", response.result_int())
             .with("route", this->call.route->name)
             .with("organisation", this->call.organisation)
             .with("tries", this->dispatches)
-            .with("held_ms", this->held_for());
+            .with("held_ms", this->elapsed());
         this->end();
         this->exchange().answer(std::move(response));
     }
@@ -260,7 +260,7 @@
 
     void caller_disconnected()
     {
-        this->context.log.event(Core::EventNumber::CallerLeft, this->attempt()).with("held_ms", this->held_for());
+        this->context.log.event(Core::EventNumber::CallerLeft, this->attempt()).with("held_ms", this->elapsed());
         this->abandon();
     }
 
