--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -16,7 +16,7 @@
 
 static constexpr Duration shortest_fault = 300ms;
 static constexpr Duration longest_fault = 4s;
-/// After SIGTERM: `balancer_lag` of Libraries/LibServing/PlannedStop.cpp.
+/// After SIGTERM: `load_balancer_delay` of Libraries/LibServing/PlannedStop.cpp.
 static constexpr Duration idle_close_delay = 2500ms;
 /// Between a process's end and its next start.
 static constexpr Duration longest_restart_delay = 1500ms;
