--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -54,7 +54,7 @@
         auto share = std::min(1.0, static_cast<double>(this->inputs.held.value()) / large_generation_tokens);
         this->timer.expires_after(AK::from_seconds((1 - share) * AK::to_seconds(max_start_delay)));
         this->timer.async_wait([self = this->shared_from_this()](boost::system::error_code error) {
-            if (!error && !self->is_settled)
+            if (!error && !self->is_finished)
                 self->copy_to_next_target();
         });
     }
@@ -62,7 +62,7 @@
     /// Cancels the move because the generation ended before the handover, and frees the copy.
     void cancel()
     {
-        bool const frees_copy = this->copy && !this->is_settled;
+        bool const frees_copy = this->copy && !this->is_finished;
         this->settle();
         if (frees_copy)
             this->drop_copy();
@@ -77,7 +77,7 @@
         this->reservation.reset();
         this->drop_link_claims();
         this->drop_connection();
-        this->is_settled = true;
+        this->is_finished = true;
     }
 
     [[nodiscard]] Phase phase() const { return this->current; }
@@ -233,7 +233,7 @@
     {
         this->timer.expires_after(busy_retry_delay);
         this->timer.async_wait([self = this->shared_from_this(), is_last](boost::system::error_code error) {
-            if (!error && !self->is_settled)
+            if (!error && !self->is_finished)
                 self->request_copy(is_last);
         });
     }
@@ -252,7 +252,7 @@
     {
         this->timer.expires_at(std::min(when, this->context.now() + end_check_period));
         this->timer.async_wait([self = this->shared_from_this()](boost::system::error_code error) {
-            if (!error && !self->is_settled)
+            if (!error && !self->is_finished)
                 self->consider_handover();
         });
     }
@@ -370,7 +370,7 @@
     unsigned response_status { 0 };
     std::string response_body;
     std::optional<MemoryCopy> copy;
-    bool is_settled { false };
+    bool is_finished { false };
 };
 
 }
