--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -391,7 +391,7 @@
         if (this->connection)
             this->connection->cancel();
         this->continuing = true;
-        this->move->settle();
+        this->move->finish();
         auto target = this->move->target();
         auto held = this->claim->held_tokens();
         this->claim.emplace(target, held, 0);
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -63,14 +63,14 @@
     void cancel()
     {
         bool const frees_copy = this->copy && !this->is_finished;
-        this->settle();
+        this->finish();
         if (frees_copy)
             this->drop_copy();
     }
 
     /// Ends the move because the generation resumes from the copy: sends no further request to the source and stops
     /// calling the observer.
-    void settle()
+    void finish()
     {
         this->phase_changed = nullptr;
         this->timer.cancel();
