--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -45,8 +45,8 @@
     {
     }
 
-    /// An engine makes one copy at a time, so smaller generations start later. Losing a large generation costs most,
-    /// and small ones may complete before their turn.
+    /// An engine makes one copy at a time, so the largest generations are copied first. Losing them costs most and they
+    /// have most of their output still to come, while small ones may complete before their turn.
     void start()
     {
         this->uncopied.emplace(this->inputs.source, &EngineLoad::own_uncopied_tokens, this->inputs.held.value());
