--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -207,7 +207,7 @@
     if (now < this->health.avoid_until || now < this->health.refused_until)
         return true;
     auto others
-        = std::ranges::count_if(this->health.told_avoidance, [now](auto const& told) { return now < told.second; });
+        = std::ranges::count_if(this->health.peer_avoidance, [now](auto const& told) { return now < told.second; });
     return others >= hosts_that_are_believed;
 }
 
@@ -224,7 +224,7 @@
 
 void note_success(Backend& backend)
 {
-    backend.health.told_avoidance.clear();
+    backend.health.peer_avoidance.clear();
     backend.health.failures_in_a_row = 0;
     backend.health.avoid_until = {};
     backend.health.refusals_in_a_row = 0;
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -68,7 +68,7 @@
     /// Until when it is avoided for them.
     Instant refused_until {};
     /// Until when other hosts avoid it, because they could not connect to it.
-    std::map<MemberId, Instant> told_avoidance;
+    std::map<MemberId, Instant> peer_avoidance;
 };
 
 /// One backend server and what this host believes of it. Flows keep it alive past its removal.
--- a/Libraries/LibServing/Suspicion.cpp
+++ b/Libraries/LibServing/Suspicion.cpp
@@ -37,7 +37,7 @@
         bool const was_avoided = backend->is_avoided(now);
         auto avoidance
             = std::min<Duration>(std::chrono::milliseconds(entry.avoided_milliseconds()), max_announced_avoidance);
-        backend->health.told_avoidance[host] = now + avoidance;
+        backend->health.peer_avoidance[host] = now + avoidance;
         if (was_avoided || !backend->is_avoided(now))
             continue;
         context.log.event(Core::EventNumber::BackendServerSuspected, entry.backend())
--- a/Meta/ablate.py
+++ b/Meta/ablate.py
@@ -41,7 +41,7 @@
     "suspicion": ("backend servers that fail are not avoided", [
         (SERVING + "BackendTable.cpp", "health.avoid_until = now + avoidance;", "(void)now;")]),
     "told-avoidance": ("what others could not connect to is not avoided", [
-        (SERVING + "Suspicion.cpp", "backend->health.told_avoidance[host] = now + avoidance;", "(void)host;")]),
+        (SERVING + "Suspicion.cpp", "backend->health.peer_avoidance[host] = now + avoidance;", "(void)host;")]),
     "failure-share": ("a backend server that fails part of its requests counts as no fuller", [
         (SERVING + "BackendChooser.cpp", "failure_cost = 4", "failure_cost = 0")]),
     "silent-domains": ("domains whose hosts are silent cost nothing more", [
