--- a/Libraries/LibServing/BackendChooser.cpp
+++ b/Libraries/LibServing/BackendChooser.cpp
@@ -75,7 +75,7 @@
 {
     return cheapest(candidates, tried, inputs, [&](Backend const& backend) {
         auto busy = static_cast<double>(backend.in_flight);
-        if (backend.load && inputs.now - backend.load_heard_at < load_report_lifetime)
+        if (backend.load && inputs.now - backend.load_received_at < load_report_lifetime)
             busy = std::max(busy, static_cast<double>(backend.load->running + backend.load->waiting));
         return busy / std::max(1U, backend.server.slots) + common_cost(backend, inputs, random);
     });
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -91,7 +91,7 @@
     /// Requests of this host, for as long as bounds of the server need them.
     RecentCount sent;
     std::optional<LoadReport> load;
-    Instant load_heard_at {};
+    Instant load_received_at {};
     /// What it takes from all hosts together, by its own last word; nothing while it names no limit.
     std::optional<RequestRate> limit;
     /// When it said so, to this host or another one; nothing if it has never named one.
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -244,7 +244,7 @@
         if (!response.load)
             return;
         backend.load = response.load;
-        backend.load_heard_at = this->context.now();
+        backend.load_received_at = this->context.now();
     }
 
     /// A process that is not the target of a request refuses it within milliseconds, or within a second over a link
