--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -95,7 +95,7 @@
     /// What it takes from all hosts together, by its own last word; nothing while it names no limit.
     std::optional<RequestRate> limit;
     /// When it said so, to this host or another one; nothing if it has never named one.
-    std::optional<Instant> limit_heard_at;
+    std::optional<Instant> limit_reported_at;
     /// Whether it said so to this host.
     bool limit_is_own_word { false };
     Instant limit_told_at {};
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -34,7 +34,7 @@
     auto const now = context.now();
     bool const has_changed = backend.limit != limit;
     backend.limit = limit;
-    backend.limit_heard_at = now;
+    backend.limit_reported_at = now;
     backend.limit_is_own_word = true;
     if (!has_changed || now - backend.limit_told_at < min_announcement_interval)
         return;
@@ -50,14 +50,14 @@
         if (!backend || !backend->is_start(ServerStart(entry.start())) || !std::isfinite(entry.requests_per_second()))
             continue;
         auto const received_at = context.now() - std::chrono::milliseconds(entry.age_milliseconds());
-        if (backend->limit_heard_at && *backend->limit_heard_at >= received_at)
+        if (backend->limit_reported_at && *backend->limit_reported_at >= received_at)
             continue;
         std::optional<RequestRate> limit;
         if (entry.requests_per_second() >= 0)
             limit = RequestRate(entry.requests_per_second());
         bool const has_changed = backend->limit != limit;
         backend->limit = limit;
-        backend->limit_heard_at = received_at;
+        backend->limit_reported_at = received_at;
         backend->limit_is_own_word = false;
         if (has_changed)
             log_limit(context, *backend);
@@ -71,7 +71,7 @@
     entry.set_backend(backend.server.id.value());
     entry.set_start(backend.server.start.value());
     entry.set_requests_per_second(backend.limit.value_or(RequestRate(no_limit)).value());
-    auto const age = context.now() - backend.limit_heard_at.value_or(context.now());
+    auto const age = context.now() - backend.limit_reported_at.value_or(context.now());
     entry.set_age_milliseconds(static_cast<u32>(AK::to_milliseconds(age)));
 }
 
@@ -79,7 +79,8 @@
 {
     size_t count = 0;
     for (auto const& [id, backend] : context.backends.all()) {
-        bool const is_recent = backend->limit_heard_at && context.now() - *backend->limit_heard_at < reannounced_for;
+        bool const is_recent
+            = backend->limit_reported_at && context.now() - *backend->limit_reported_at < reannounced_for;
         bool const is_in_scope = scope == LimitScope::All || backend->limit_is_own_word;
         if (is_recent && is_in_scope && count++ < max_limits_per_message)
             put_rate_limit(message, context, *backend);
--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -41,7 +41,7 @@
 
 std::optional<ServerLimits::Bound> ServerLimits::rate_limit_bound(Backend const& backend, Instant now) const
 {
-    if (!backend.limit || now - *backend.limit_heard_at >= this->limit_lifetime)
+    if (!backend.limit || now - *backend.limit_reported_at >= this->limit_lifetime)
         return {};
     return Bound { BoundReason::RateLimit, requests_in_window(*backend.limit), rate_limit_window + max_delivery_delay };
 }
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -340,7 +340,7 @@
                 RC_ASSERT(!leaving.contains(chosen_id));
                 // A limit may expire if it is not renewed for this long.
                 constexpr Duration limit_surely_holds = 20s;
-                if (chosen->limit && host.now - *chosen->limit_heard_at < limit_surely_holds) {
+                if (chosen->limit && host.now - *chosen->limit_reported_at < limit_surely_holds) {
                     auto const lately = std::ranges::count_if(
                         sent[chosen_id], [&](Instant at) { return host.now - at < ServerLimits::rate_limit_window; });
                     RC_ASSERT(static_cast<u32>(lately) < ServerLimits::requests_in_window(*chosen->limit));
