--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -97,7 +97,7 @@
     /// When it said so, to this host or another one; nothing if it has never named one.
     std::optional<Instant> limit_reported_at;
     /// Whether it said so to this host.
-    bool limit_is_own_word { false };
+    bool limit_is_first_hand { false };
     Instant limit_told_at {};
     /// Until when it wants no requests of this host; the latest end that it has asked for.
     Instant back_off_until {};
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -35,7 +35,7 @@
     bool const has_changed = backend.limit != limit;
     backend.limit = limit;
     backend.limit_reported_at = now;
-    backend.limit_is_own_word = true;
+    backend.limit_is_first_hand = true;
     if (!has_changed || now - backend.limit_told_at < min_announcement_interval)
         return;
     backend.limit_told_at = now;
@@ -58,7 +58,7 @@
         bool const has_changed = backend->limit != limit;
         backend->limit = limit;
         backend->limit_reported_at = received_at;
-        backend->limit_is_own_word = false;
+        backend->limit_is_first_hand = false;
         if (has_changed)
             log_limit(context, *backend);
     }
@@ -81,7 +81,7 @@
     for (auto const& [id, backend] : context.backends.all()) {
         bool const is_recent
             = backend->limit_reported_at && context.now() - *backend->limit_reported_at < reannounced_for;
-        bool const is_in_scope = scope == LimitScope::All || backend->limit_is_own_word;
+        bool const is_in_scope = scope == LimitScope::All || backend->limit_is_first_hand;
         if (is_recent && is_in_scope && count++ < max_limits_per_message)
             put_rate_limit(message, context, *backend);
     }
