--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -98,7 +98,7 @@
     std::optional<Instant> limit_reported_at;
     /// Whether it said so to this host.
     bool limit_is_first_hand { false };
-    Instant limit_told_at {};
+    Instant limit_announced_at {};
     /// Until when it wants no requests of this host; the latest end that it has asked for.
     Instant back_off_until {};
     /// Its process has said itself that it leaves, to this host or another one: no later word takes that back.
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -36,9 +36,9 @@
     backend.limit = limit;
     backend.limit_reported_at = now;
     backend.limit_is_first_hand = true;
-    if (!has_changed || now - backend.limit_told_at < min_announcement_interval)
+    if (!has_changed || now - backend.limit_announced_at < min_announcement_interval)
         return;
-    backend.limit_told_at = now;
+    backend.limit_announced_at = now;
     log_limit(context, backend);
     context.limit_changed(backend);
 }
