--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -102,11 +102,11 @@
 void BackendTable::keep_own_word(Backend const& backend, Instant now)
 {
     auto kept_until = backend.back_off_until;
-    if (backend.has_said_it_leaves)
+    if (backend.has_announced_leaving)
         kept_until = std::max(kept_until, now + leaving_kept_for);
     if (now < kept_until)
         this->own_words[backend.server.id]
-            = { backend.server.start, backend.back_off_until, backend.has_said_it_leaves, kept_until };
+            = { backend.server.start, backend.back_off_until, backend.has_announced_leaving, kept_until };
 }
 
 void BackendTable::restore_own_word(Backend& backend) const
@@ -115,7 +115,7 @@
     if (kept == this->own_words.end() || !backend.is_start(kept->second.start))
         return;
     backend.back_off_until = std::max(backend.back_off_until, kept->second.back_off_until);
-    if (kept->second.has_said_it_leaves)
+    if (kept->second.has_announced_leaving)
         backend.note_own_word_to_leave();
 }
 
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -102,7 +102,7 @@
     /// Until when it wants no requests of this host; the latest end that it has asked for.
     Instant back_off_until {};
     /// Its process has said itself that it leaves, to this host or another one: no later word takes that back.
-    bool has_said_it_leaves { false };
+    bool has_announced_leaving { false };
     Health health;
     EngineLoad engine;
 
@@ -129,7 +129,7 @@
 
     void note_own_word_to_leave()
     {
-        this->has_said_it_leaves = true;
+        this->has_announced_leaving = true;
         if (this->availability == Availability::Serving)
             this->availability = Availability::Leaving;
     }
@@ -187,7 +187,7 @@
     struct OwnWord {
         ServerStart start;
         Instant back_off_until {};
-        bool has_said_it_leaves { false };
+        bool has_announced_leaving { false };
         Instant kept_until {};
     };
     void restore_own_word(Backend&) const;
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -27,7 +27,7 @@
 
 static void record_leaving(ServingContext& context, Backend& backend)
 {
-    if (backend.has_said_it_leaves)
+    if (backend.has_announced_leaving)
         return;
     context.log.event(Core::EventNumber::ServerAnnouncedLeaving, backend.server.id.value())
         .with("state", to_string(backend.availability))
