--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -75,9 +75,9 @@
 void BackendList::ended(EngineId const& id, ServerStart start, Address const& address)
 {
     auto backend = this->context.backends.find_running(id);
-    if (!backend || backend->has_ended || !backend->is_start(start) || backend->server.address != address)
+    if (!backend || backend->has_terminated || !backend->is_start(start) || backend->server.address != address)
         return;
-    backend->has_ended = true;
+    backend->has_terminated = true;
     this->context.log.event(Core::EventNumber::BackendServerChanged, id.value())
         .with("state", "ended")
         .with("address", address)
--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -73,7 +73,7 @@
         this->by_service[server.service].push_back(known);
     }
     // Elsewhere it may live on.
-    known->has_ended = known->has_ended && known->server.address == server.address;
+    known->has_terminated = known->has_terminated && known->server.address == server.address;
     known->server = server;
     known->endpoint = *endpoint;
     known->cold_until = now + server.warm_up_left;
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -82,7 +82,7 @@
     /// Its entry in the platform's list cannot be used just now. What runs there goes on; nothing new is given to it.
     bool has_unusable_entry { false };
     /// Another process answers where it was, so its own has ended, though the platform still lists it.
-    bool has_ended { false };
+    bool has_terminated { false };
     /// The operator wants nothing sent to its failure domain. What runs there goes on.
     bool is_evacuated { false };
     u32 in_flight { 0 };
@@ -109,7 +109,7 @@
     /// Whether new work may be given to it at all.
     [[nodiscard]] bool takes_work() const
     {
-        return this->availability == Availability::Serving && !this->has_unusable_entry && !this->has_ended
+        return this->availability == Availability::Serving && !this->has_unusable_entry && !this->has_terminated
             && !this->is_evacuated;
     }
     /// Whether new work may be sent to it now.
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -94,7 +94,7 @@
         this->reporter.start();
         this->context.backend_terminated = [this](Backend const& backend) {
             auto const server = backend.server;
-            if (backend.has_ended)
+            if (backend.has_terminated)
                 return;
             this->backends.ended(server.id, server.start, server.address);
             this->peers.tell_ended(server);
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -202,7 +202,7 @@
     Libraries/LibServing/BackendList.cpp "before->tell_end();" ";"
 guard "who answers for another gets no more" TestPlatform \
     "Scenario: a call to a plain service goes through a host on the users' platform" \
-    Libraries/LibServing/BackendList.cpp "backend->has_ended = true;" ""
+    Libraries/LibServing/BackendList.cpp "backend->has_terminated = true;" ""
 guard "an unusable entry gets no work" TestLibServing "Scenario: an entry that cannot be used names no server to give work to" \
     Libraries/LibServing/BackendList.cpp "backend->has_unusable_entry = true;" ";"
 guard "a state that is not named is no state" TestPlatform "Scenario: a backend server's entry is read, or names no server" \
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -226,7 +226,7 @@
     bool is_listed { false };
     bool is_leaving { false };
     bool is_unusable { false };
-    bool has_ended { false };
+    bool has_terminated { false };
     /// Starts that have said themselves that they leave.
     std::set<i64> said_to_leave;
 
@@ -237,13 +237,13 @@
         bool const is_anew = told > this->start || !this->is_listed;
         this->start = told;
         this->is_leaving = leaves || this->said_to_leave.contains(told) || (!is_anew && this->is_leaving);
-        this->has_ended = !is_anew && this->has_ended;
+        this->has_terminated = !is_anew && this->has_terminated;
         this->is_unusable = false;
         this->is_listed = true;
     }
     [[nodiscard]] bool takes_work() const
     {
-        return this->is_listed && !this->is_leaving && !this->is_unusable && !this->has_ended;
+        return this->is_listed && !this->is_leaving && !this->is_unusable && !this->has_terminated;
     }
 };
 
@@ -273,7 +273,7 @@
                 break;
             case 3:
                 host.list.ended(id, ServerStart(start), Address("127.0.0.1:1000"));
-                model.has_ended = model.has_ended || is_this;
+                model.has_terminated = model.has_terminated || is_this;
                 break;
             case 4:
                 host.list.unusable(id);
