--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -38,7 +38,7 @@
     auto now = this->context.now();
     this->held_removals.erase(server.id);
     auto before = this->context.backends.find(server.id);
-    if (before && before->is_start(server.start))
+    if (before && before->matches_start(server.start))
         before->has_unusable_entry = false;
     bool const was_serving = before && before->availability == Availability::Serving;
     auto backend = this->context.backends.update(server, now);
@@ -75,7 +75,7 @@
 void BackendList::ended(EngineId const& id, ServerStart start, Address const& address)
 {
     auto backend = this->context.backends.find_running(id);
-    if (!backend || backend->has_terminated || !backend->is_start(start) || backend->server.address != address)
+    if (!backend || backend->has_terminated || !backend->matches_start(start) || backend->server.address != address)
         return;
     backend->has_terminated = true;
     this->context.log.event(Core::EventNumber::BackendServerChanged, id.value())
@@ -88,7 +88,7 @@
 void BackendList::leaving(EngineId const& id, ServerStart start, std::optional<Instant> ends_at)
 {
     auto backend = this->context.backends.find(id);
-    if (!backend || !backend->is_start(start))
+    if (!backend || !backend->matches_start(start))
         return;
     bool const was_serving = backend->availability == Availability::Serving;
     backend->note_own_word_to_leave();
--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -112,7 +112,7 @@
 void BackendTable::restore_own_word(Backend& backend) const
 {
     auto kept = this->own_words.find(backend.server.id);
-    if (kept == this->own_words.end() || !backend.is_start(kept->second.start))
+    if (kept == this->own_words.end() || !backend.matches_start(kept->second.start))
         return;
     backend.back_off_until = std::max(backend.back_off_until, kept->second.back_off_until);
     if (kept->second.has_announced_leaving)
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -122,7 +122,7 @@
     /// By what this host has seen itself, or by the word of several others.
     [[nodiscard]] bool is_avoided(Instant now) const;
     /// Whether word of the server that started then is about this one. Who does not know the start means any.
-    [[nodiscard]] bool is_start(ServerStart start) const
+    [[nodiscard]] bool matches_start(ServerStart start) const
     {
         return start == this->server.start || start == ServerStart(0) || this->server.start == ServerStart(0);
     }
--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -156,7 +156,7 @@
     /// Another process may have the address, under this id or another one.
     [[nodiscard]] static bool is_from(Backend const& backend, EngineReport const& report)
     {
-        return !report.start || backend.is_start(*report.start);
+        return !report.start || backend.matches_start(*report.start);
     }
 
     void answered(
--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -36,9 +36,9 @@
 {
     auto& known = host.engines[id];
     if (auto backend = table.find_running(id)) {
-        if (backend->is_start(known.start))
+        if (backend->matches_start(known.start))
             add(*backend, known.use, host.is_near, -1);
-        if (backend->is_start(told.start))
+        if (backend->matches_start(told.start))
             add(*backend, told.use, host.is_near, 1);
     }
     known = told;
@@ -95,7 +95,7 @@
 {
     for (auto const& [name, host] : this->hosts) {
         auto found = host.engines.find(backend.server.id);
-        if (found != host.engines.end() && backend.is_start(found->second.start))
+        if (found != host.engines.end() && backend.matches_start(found->second.start))
             add(backend, found->second.use, host.is_near, 1);
     }
 }
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -47,7 +47,8 @@
 {
     for (auto const& entry : message.limits()) {
         auto backend = context.backends.find(EngineId(entry.backend()));
-        if (!backend || !backend->is_start(ServerStart(entry.start())) || !std::isfinite(entry.requests_per_second()))
+        if (!backend || !backend->matches_start(ServerStart(entry.start()))
+            || !std::isfinite(entry.requests_per_second()))
             continue;
         auto const received_at = context.now() - std::chrono::milliseconds(entry.age_milliseconds());
         if (backend->limit_reported_at && *backend->limit_reported_at >= received_at)
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -49,7 +49,7 @@
 {
     for (auto const& entry : message.refusing()) {
         auto backend = context.backends.find(EngineId(entry.backend()));
-        if (!backend || !backend->is_start(ServerStart(entry.start())) || entry.refusals() == 0)
+        if (!backend || !backend->matches_start(ServerStart(entry.start())) || entry.refusals() == 0)
             continue;
         auto& health = backend->health;
         health.refusals_in_a_row = std::max(health.refusals_in_a_row, entry.refusals());
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -56,7 +56,7 @@
     auto const listed = context.backends.find(backend.server.id);
     if (!listed)
         return context.backends.keep_own_word(backend, context.now());
-    if (listed.get() != &backend && listed->is_start(backend.server.start))
+    if (listed.get() != &backend && listed->matches_start(backend.server.start))
         apply(context, *listed, answer);
 }
 
--- a/Libraries/LibServing/Suspicion.cpp
+++ b/Libraries/LibServing/Suspicion.cpp
@@ -32,7 +32,7 @@
     auto now = context.now();
     for (auto const& entry : message.unreachable()) {
         auto backend = context.backends.find(EngineId(entry.backend()));
-        if (!backend || !backend->is_start(ServerStart(entry.start())))
+        if (!backend || !backend->matches_start(ServerStart(entry.start())))
             continue;
         bool const was_avoided = backend->is_avoided(now);
         auto avoidance
