--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -91,7 +91,7 @@
     if (!backend || !backend->matches_start(start))
         return;
     bool const was_serving = backend->availability == Availability::Serving;
-    backend->note_own_word_to_leave();
+    backend->record_leaving();
     if (!was_serving)
         return;
     backend->available_since = this->context.now();
--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -116,7 +116,7 @@
         return;
     backend.back_off_until = std::max(backend.back_off_until, kept->second.back_off_until);
     if (kept->second.has_announced_leaving)
-        backend.note_own_word_to_leave();
+        backend.record_leaving();
 }
 
 void BackendTable::set_evacuated(FailureDomainId const& domain, bool is_evacuated)
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -127,7 +127,7 @@
         return start == this->server.start || start == ServerStart(0) || this->server.start == ServerStart(0);
     }
 
-    void note_own_word_to_leave()
+    void record_leaving()
     {
         this->has_announced_leaving = true;
         if (this->availability == Availability::Serving)
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -35,7 +35,7 @@
     // If the platform's list already says that the server leaves, the other hosts know it as well.
     if (backend.availability == Availability::Serving)
         context.backend_leaves(backend);
-    backend.note_own_word_to_leave();
+    backend.record_leaving();
 }
 
 static void apply(ServingContext& context, Backend& backend, BackendResponseHead const& answer)
