--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -184,10 +184,10 @@
     return found == this->by_service.end() ? none : found->second;
 }
 
-std::shared_ptr<Backend::EndObserver> Backend::observe_end(EndObserver observer)
+std::shared_ptr<Backend::TerminationObserver> Backend::observe_end(TerminationObserver observer)
 {
     std::erase_if(this->end_observers, [](auto const& known) { return known.expired(); });
-    auto token = std::make_shared<EndObserver>(std::move(observer));
+    auto token = std::make_shared<TerminationObserver>(std::move(observer));
     this->end_observers.push_back(token);
     return token;
 }
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -135,13 +135,13 @@
     }
 
     /// Told when this process is known to have ended because a later one has its id: what it had under way is lost.
-    using EndObserver = std::function<void()>;
+    using TerminationObserver = std::function<void()>;
     /// The observer is forgotten with the token that is answered.
-    [[nodiscard]] std::shared_ptr<EndObserver> observe_end(EndObserver);
+    [[nodiscard]] std::shared_ptr<TerminationObserver> observe_end(TerminationObserver);
     void tell_end();
 
 private:
-    std::vector<std::weak_ptr<EndObserver>> end_observers;
+    std::vector<std::weak_ptr<TerminationObserver>> end_observers;
 };
 
 using BackendPointer = std::shared_ptr<Backend>;
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -256,7 +256,7 @@
     static constexpr unsigned first_server_error = 500;
 
     /// Observes the termination of the backend server's process while a dispatch is in progress.
-    std::shared_ptr<Backend::EndObserver> termination_watch;
+    std::shared_ptr<Backend::TerminationObserver> termination_watch;
     ServingContext& context;
     AdmittedCall call;
     AK::Timer deadline_timer;
