--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -184,7 +184,7 @@
     return found == this->by_service.end() ? none : found->second;
 }
 
-std::shared_ptr<Backend::TerminationObserver> Backend::observe_end(TerminationObserver observer)
+std::shared_ptr<Backend::TerminationObserver> Backend::observe_termination(TerminationObserver observer)
 {
     std::erase_if(this->end_observers, [](auto const& known) { return known.expired(); });
     auto token = std::make_shared<TerminationObserver>(std::move(observer));
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -137,7 +137,7 @@
     /// Told when this process is known to have ended because a later one has its id: what it had under way is lost.
     using TerminationObserver = std::function<void()>;
     /// The observer is forgotten with the token that is answered.
-    [[nodiscard]] std::shared_ptr<TerminationObserver> observe_end(TerminationObserver);
+    [[nodiscard]] std::shared_ptr<TerminationObserver> observe_termination(TerminationObserver);
     void tell_end();
 
 private:
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -150,11 +150,11 @@
     /// the replacement process, which then refuses it as misdirected.
     void watch_termination(Backend& backend, std::function<void()> on_terminated)
     {
-        this->termination_watch
-            = backend.observe_end([this, sent_at = this->context.now(), on_terminated = std::move(on_terminated)] {
-                  if (this->response_head || this->context.now() - sent_at >= max_refusal_delay)
-                      on_terminated();
-              });
+        this->termination_watch = backend.observe_termination(
+            [this, sent_at = this->context.now(), on_terminated = std::move(on_terminated)] {
+                if (this->response_head || this->context.now() - sent_at >= max_refusal_delay)
+                    on_terminated();
+            });
     }
 
     /// Whether the backend server reports that it has not run the request and will not run it.
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -78,7 +78,7 @@
     host.peer_has(1'000, 5000);
     CHECK(former->engine.tokens() == 14'000);
     int told_ends = 0;
-    auto token = former->observe_end([&] { ++told_ends; });
+    auto token = former->observe_termination([&] { ++told_ends; });
 
     WHEN("its new start is listed")
     {
@@ -160,7 +160,7 @@
     host.list.changed(row(1'000));
     auto const former = host.backend();
     int told_ends = 0;
-    auto token = former->observe_end([&] { ++told_ends; });
+    auto token = former->observe_termination([&] { ++told_ends; });
     host.list.ended(id, ServerStart(1'000), Address("127.0.0.1:1000"));
     CHECK_FALSE(host.takes_work());
     THEN("what is under way goes on") { CHECK(told_ends == 0); }
