--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -57,7 +57,7 @@
         .with("start", server.start)
         .with("cold_ms", server.warm_up_left);
     if (is_new && before && before->server.start < server.start)
-        before->tell_end();
+        before->notify_termination();
     bool const begins_to_leave = backend->availability == Availability::Leaving && (was_serving || is_new);
     if (begins_to_leave) {
         backend->available_since = now;
--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -192,7 +192,7 @@
     return token;
 }
 
-void Backend::tell_end()
+void Backend::notify_termination()
 {
     // Observers may begin to observe this or another backend server.
     auto const observers = std::exchange(this->end_observers, {});
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -138,7 +138,7 @@
     using TerminationObserver = std::function<void()>;
     /// The observer is forgotten with the token that is answered.
     [[nodiscard]] std::shared_ptr<TerminationObserver> observe_termination(TerminationObserver);
-    void tell_end();
+    void notify_termination();
 
 private:
     std::vector<std::weak_ptr<TerminationObserver>> end_observers;
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -199,7 +199,7 @@
     "Scenario: words of any start in any order leave what the latest start is" \
     Libraries/LibServing/PeerUse.cpp "if (backend->matches_start(told.start))" ""
 guard "a later start ends what the former had" TestPlatform "Scenario: a generation is relayed event by event" \
-    Libraries/LibServing/BackendList.cpp "before->tell_end();" ";"
+    Libraries/LibServing/BackendList.cpp "before->notify_termination();" ";"
 guard "who answers for another gets no more" TestPlatform \
     "Scenario: a call to a plain service goes through a host on the users' platform" \
     Libraries/LibServing/BackendList.cpp "backend->has_terminated = true;" ""
