--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -186,16 +186,16 @@
 
 std::shared_ptr<Backend::TerminationObserver> Backend::observe_termination(TerminationObserver observer)
 {
-    std::erase_if(this->end_observers, [](auto const& known) { return known.expired(); });
+    std::erase_if(this->termination_observers, [](auto const& known) { return known.expired(); });
     auto token = std::make_shared<TerminationObserver>(std::move(observer));
-    this->end_observers.push_back(token);
+    this->termination_observers.push_back(token);
     return token;
 }
 
 void Backend::notify_termination()
 {
     // Observers may begin to observe this or another backend server.
-    auto const observers = std::exchange(this->end_observers, {});
+    auto const observers = std::exchange(this->termination_observers, {});
     for (auto const& observer : observers) {
         if (auto held = observer.lock())
             (*held)();
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -141,7 +141,7 @@
     void notify_termination();
 
 private:
-    std::vector<std::weak_ptr<TerminationObserver>> end_observers;
+    std::vector<std::weak_ptr<TerminationObserver>> termination_observers;
 };
 
 using BackendPointer = std::shared_ptr<Backend>;
