--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -184,7 +184,7 @@
         Instant at {};
     };
     /// What a process has said of itself. It holds though its entry comes and goes.
-    struct OwnWord {
+    struct ReportedState {
         ServerStart start;
         Instant back_off_until {};
         bool has_announced_leaving { false };
@@ -195,7 +195,7 @@
     std::set<FailureDomainId> evacuated;
     std::unordered_map<EngineId, BackendPointer> by_id;
     std::unordered_map<EngineId, Departed> departed;
-    std::unordered_map<EngineId, OwnWord> own_words;
+    std::unordered_map<EngineId, ReportedState> own_words;
     std::unordered_map<ServiceName, std::vector<BackendPointer>> by_service;
 };
 
