--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -94,12 +94,12 @@
     entry->availability = Availability::Gone;
     std::erase(this->by_service[entry->server.service], entry);
     this->by_id.erase(found);
-    this->keep_own_word(*entry, now);
+    this->keep_reported_state(*entry, now);
     this->departed[id] = { entry, now };
     return entry;
 }
 
-void BackendTable::keep_own_word(Backend const& backend, Instant now)
+void BackendTable::keep_reported_state(Backend const& backend, Instant now)
 {
     auto kept_until = backend.back_off_until;
     if (backend.has_announced_leaving)
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -157,7 +157,7 @@
     BackendPointer remove(EngineId const&, Instant now);
 
     /// Keeps what one that is off the list has said of itself, for its entry may come back.
-    void keep_own_word(Backend const&, Instant now);
+    void keep_reported_state(Backend const&, Instant now);
 
     /// Whether the operator wants nothing sent to the backend servers of a failure domain, those that are still to come
     /// among them.
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -55,7 +55,7 @@
     // The entry may have been removed and added again since the request was sent.
     auto const listed = context.backends.find(backend.server.id);
     if (!listed)
-        return context.backends.keep_own_word(backend, context.now());
+        return context.backends.keep_reported_state(backend, context.now());
     if (listed.get() != &backend && listed->matches_start(backend.server.start))
         apply(context, *listed, answer);
 }
