--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -78,7 +78,7 @@
     known->endpoint = *endpoint;
     known->cold_until = now + server.warm_up_left;
     known->is_evacuated = this->evacuated.contains(server.failure_domain);
-    this->restore_own_word(*known);
+    this->restore_reported_state(*known);
     // Leaving is final: a list that is behind must not bring a backend server back.
     if (server.is_leaving && known->availability == Availability::Serving)
         known->availability = Availability::Leaving;
@@ -109,7 +109,7 @@
             = { backend.server.start, backend.back_off_until, backend.has_announced_leaving, kept_until };
 }
 
-void BackendTable::restore_own_word(Backend& backend) const
+void BackendTable::restore_reported_state(Backend& backend) const
 {
     auto kept = this->own_words.find(backend.server.id);
     if (kept == this->own_words.end() || !backend.matches_start(kept->second.start))
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -190,7 +190,7 @@
         bool has_announced_leaving { false };
         Instant kept_until {};
     };
-    void restore_own_word(Backend&) const;
+    void restore_reported_state(Backend&) const;
 
     std::set<FailureDomainId> evacuated;
     std::unordered_map<EngineId, BackendPointer> by_id;
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -285,7 +285,7 @@
     Libraries/LibServing/ServerNotice.cpp "if (until <= backend.back_off_until)" "if (false)"
 guard "own words outlast entries" TestLibServing \
     "Scenario: a process that has said that it leaves is sent nothing new, and nothing takes that back" \
-    Libraries/LibServing/BackendTable.cpp "this->restore_own_word(*known);" ""
+    Libraries/LibServing/BackendTable.cpp "this->restore_reported_state(*known);" ""
 guard "leaving: the word of an answer" TestHosts \
     "Scenario: a host sends no new work to a server that has said in an answer that it leaves" \
     Libraries/LibServing/ServerNotice.cpp "record_leaving(context, backend);" ""
