--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -105,14 +105,14 @@
     if (backend.has_announced_leaving)
         kept_until = std::max(kept_until, now + leaving_kept_for);
     if (now < kept_until)
-        this->own_words[backend.server.id]
+        this->reported_states[backend.server.id]
             = { backend.server.start, backend.back_off_until, backend.has_announced_leaving, kept_until };
 }
 
 void BackendTable::restore_reported_state(Backend& backend) const
 {
-    auto kept = this->own_words.find(backend.server.id);
-    if (kept == this->own_words.end() || !backend.matches_start(kept->second.start))
+    auto kept = this->reported_states.find(backend.server.id);
+    if (kept == this->reported_states.end() || !backend.matches_start(kept->second.start))
         return;
     backend.back_off_until = std::max(backend.back_off_until, kept->second.back_off_until);
     if (kept->second.has_announced_leaving)
@@ -168,7 +168,7 @@
 {
     std::erase_if(
         this->departed, [now](auto const& entry) { return now - entry.second.at > longest_run_after_departure; });
-    std::erase_if(this->own_words, [now](auto const& entry) { return entry.second.kept_until <= now; });
+    std::erase_if(this->reported_states, [now](auto const& entry) { return entry.second.kept_until <= now; });
 }
 
 BackendPointer BackendTable::find(EngineId const& id) const
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -195,7 +195,7 @@
     std::set<FailureDomainId> evacuated;
     std::unordered_map<EngineId, BackendPointer> by_id;
     std::unordered_map<EngineId, Departed> departed;
-    std::unordered_map<EngineId, ReportedState> own_words;
+    std::unordered_map<EngineId, ReportedState> reported_states;
     std::unordered_map<ServiceName, std::vector<BackendPointer>> by_service;
 };
 
