--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -139,7 +139,7 @@
 void BackendList::tick()
 {
     auto now = this->context.now();
-    this->context.backends.forget_ended(now);
+    this->context.backends.expire_removed(now);
     while (true) {
         auto due = std::ranges::find_if(this->held_removals, [&](auto const& held) { return held.second <= now; });
         if (due == this->held_removals.end())
--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -164,7 +164,7 @@
     return all;
 }
 
-void BackendTable::forget_ended(Instant now)
+void BackendTable::expire_removed(Instant now)
 {
     std::erase_if(
         this->departed, [now](auto const& entry) { return now - entry.second.at > longest_run_after_departure; });
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -172,7 +172,7 @@
     /// All of those.
     [[nodiscard]] std::vector<BackendPointer> running() const;
     /// Lets go of those that cannot run any more.
-    void forget_ended(Instant now);
+    void expire_removed(Instant now);
     [[nodiscard]] std::vector<BackendPointer> const& of_service(ServiceName const&) const;
     [[nodiscard]] std::unordered_map<EngineId, BackendPointer> const& all() const { return this->by_id; }
 
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -78,7 +78,7 @@
             REQUIRE(changes.has_value());
             use.heard(host, *changes, other_table, now);
             CHECK(engine->engine.uncopied_tokens() == 2500);
-            own_table.forget_ended(now + 1min);
+            own_table.expire_removed(now + 1min);
             CHECK_FALSE(own.changes(own_table).has_value());
         }
     }
--- a/Tests/LibServing/TestTables.cpp
+++ b/Tests/LibServing/TestTables.cpp
@@ -219,7 +219,7 @@
     }
     WHEN("the longest time that it may run is over")
     {
-        table.forget_ended(now + 1min);
+        table.expire_removed(now + 1min);
         CHECK_FALSE(table.find_running(EngineId("e1")));
         CHECK(table.running().empty());
     }
