--- a/Libraries/LibServing/Admission.cpp
+++ b/Libraries/LibServing/Admission.cpp
@@ -113,7 +113,7 @@
         return decision;
     }
     decision.retry_after = draw_retry_after(random);
-    auto const back_off = shortest_back_off(candidates, inputs.now);
+    auto const back_off = min_back_off(candidates, inputs.now);
     if (decision.serving > 0) {
         decision.verdict = AdmissionVerdict::NoCapacity;
     } else if (back_off) {
--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -211,7 +211,7 @@
     return others >= hosts_that_are_believed;
 }
 
-std::optional<Duration> shortest_back_off(std::span<BackendPointer const> candidates, Instant now)
+std::optional<Duration> min_back_off(std::span<BackendPointer const> candidates, Instant now)
 {
     std::optional<Duration> shortest;
     for (auto const& candidate : candidates) {
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -225,7 +225,7 @@
                 { ErrorKind::Overloaded, "the backend servers of the service take no more now; send the call again",
                     limited_retry_after },
                 RequestOutcome::NotRun);
-        if (auto const back_off = shortest_back_off(candidates, now))
+        if (auto const back_off = min_back_off(candidates, now))
             return this->respond_with_error(
                 { ErrorKind::Overloaded,
                     "the backend servers of the service have asked for a pause; send the call again",
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -247,7 +247,7 @@
     CHECK(decision.verdict == AdmissionVerdict::BackingOff);
     CHECK(decision.retry_after >= 2s);
     CHECK(decision.retry_after <= 2500ms);
-    CHECK(shortest_back_off(host.all(), host.now) == Duration(2s));
+    CHECK(min_back_off(host.all(), host.now) == Duration(2s));
     WHEN("the first back-off has ended")
     {
         host.advance(2s);
