--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -222,7 +222,7 @@
     return shortest;
 }
 
-void note_success(Backend& backend)
+void record_success(Backend& backend)
 {
     backend.health.peer_avoidance.clear();
     backend.health.failures_in_a_row = 0;
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -202,7 +202,7 @@
 /// Until the first of those that would take work has no more back-off asked for; nothing when none has asked.
 std::optional<Duration> min_back_off(std::span<BackendPointer const>, Instant now);
 
-void note_success(Backend&);
+void record_success(Backend&);
 /// `is_unreachable` when no request could be handed over, which says more than one failed answer. Answers for how
 /// long the backend server is avoided.
 Duration note_failure(Backend&, Instant now, bool is_unreachable);
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -139,7 +139,7 @@
             = head.count(Http::Name::transfer_encoding) > 0 || head.count(Http::Name::content_length) > 0;
         if (!this->is_relayed_stream())
             return Http::HeadVerdict::Take;
-        note_success(*this->backend);
+        record_success(*this->backend);
         if (this->move)
             this->continued();
         else if (!this->exchange().is_streaming())
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -134,7 +134,7 @@
             return this->try_again("its success carries no signature", false);
         }
         if (!this->is_server_error()) {
-            note_success(used);
+            record_success(used);
             return this->relay_response();
         }
         auto reason = "status " + std::to_string(this->response_status());
--- a/Tests/LibServing/TestRefusal.cpp
+++ b/Tests/LibServing/TestRefusal.cpp
@@ -103,7 +103,7 @@
 
     void accept(Backend& chosen)
     {
-        note_success(chosen);
+        record_success(chosen);
         ++this->placed[chosen.server.id.value()];
         constexpr i64 tokens_of_busy_engine = 17'000;
         this->set_tokens(chosen.server.id, tokens_of_busy_engine);
@@ -208,13 +208,13 @@
         }
         AND_WHEN("it accepts a request")
         {
-            note_success(*engine);
+            record_success(*engine);
             CHECK(engine->health.refusals_in_a_row == 0);
         }
     }
     THEN("a successful request ends the avoidance")
     {
-        note_success(*engine);
+        record_success(*engine);
         CHECK_FALSE(engine->is_avoided(now));
     }
     WHEN("it rejects for a long time")
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -114,7 +114,7 @@
         THEN("it gets no work for that time, and gets work again afterwards") { back_off_holds(); }
         WHEN("an earlier request succeeds there")
         {
-            note_success(*host.server("a"));
+            record_success(*host.server("a"));
             THEN("the back-off still applies") { back_off_holds(); }
         }
         WHEN("a later response requests a shorter back-off")
@@ -272,7 +272,7 @@
                 break;
             case 1:
                 if (host.server("a"))
-                    note_success(*host.server("a"));
+                    record_success(*host.server("a"));
                 break;
             case 2:
                 host.remove("a");
--- a/Tests/LibServing/TestServiceReach.cpp
+++ b/Tests/LibServing/TestServiceReach.cpp
@@ -51,7 +51,7 @@
     }
     WHEN("a server answers again")
     {
-        note_success(*second);
+        record_success(*second);
         CHECK(out_of_reach(now).empty());
     }
     WHEN("nothing has been tried for some seconds")
@@ -60,7 +60,7 @@
     }
     WHEN("a server answers with failures")
     {
-        note_success(*first);
+        record_success(*first);
         note_failure(*first, now, false);
         CHECK(out_of_reach(now).empty());
     }
--- a/Tests/LibServing/TestSuspicion.cpp
+++ b/Tests/LibServing/TestSuspicion.cpp
@@ -87,7 +87,7 @@
             }
             THEN("a successful request of this host ends the avoidance")
             {
-                note_success(*fixture.backend);
+                record_success(*fixture.backend);
                 CHECK_FALSE(fixture.is_avoided());
             }
         }
--- a/Tests/LibServing/TestTables.cpp
+++ b/Tests/LibServing/TestTables.cpp
@@ -107,7 +107,7 @@
         THEN("it is tried again when its time is over")
         {
             inputs.now = now + 300ms;
-            note_success(*near);
+            record_success(*near);
             near->health.failure_share = 0;
             CHECK(choose() == "near");
         }
