--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -233,7 +233,7 @@
     backend.health.failure_share *= 1 - newest_request_weight;
 }
 
-Duration note_failure(Backend& backend, Instant now, bool is_unreachable)
+Duration record_failure(Backend& backend, Instant now, bool is_unreachable)
 {
     auto& health = backend.health;
     health.failure_share += (1 - health.failure_share) * newest_request_weight;
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -205,6 +205,6 @@
 void record_success(Backend&);
 /// `is_unreachable` when no request could be handed over, which says more than one failed answer. Answers for how
 /// long the backend server is avoided.
-Duration note_failure(Backend&, Instant now, bool is_unreachable);
+Duration record_failure(Backend&, Instant now, bool is_unreachable);
 
 }
--- a/Libraries/LibServing/Suspicion.cpp
+++ b/Libraries/LibServing/Suspicion.cpp
@@ -15,7 +15,7 @@
 
 void suspect(ServingContext& context, Backend& backend, Failure const& failure)
 {
-    auto avoidance = note_failure(backend, context.now(), failure.is_unreachable);
+    auto avoidance = record_failure(backend, context.now(), failure.is_unreachable);
     if (avoidance == 0s)
         return;
     context.log.event(Core::EventNumber::BackendServerSuspected, backend.server.id.value())
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -82,7 +82,7 @@
 
     WHEN("its new start is listed")
     {
-        note_failure(*former, host.now, true);
+        record_failure(*former, host.now, true);
         host.list.changed(row(1'000, true));
         host.list.changed(row(2'000));
         THEN("nothing of the former one holds for it")
--- a/Tests/LibServing/TestServiceReach.cpp
+++ b/Tests/LibServing/TestServiceReach.cpp
@@ -36,9 +36,9 @@
     auto out_of_reach = [&](Instant when) { return services_out_of_reach(table, routing, silent, when); };
 
     CHECK(out_of_reach(now).empty());
-    note_failure(*first, now, true);
+    record_failure(*first, now, true);
     CHECK(out_of_reach(now).empty());
-    note_failure(*second, now, true);
+    record_failure(*second, now, true);
     CHECK(out_of_reach(now) == std::vector { ServiceName("lookups") });
 
     WHEN("hosts of the other domains are heard")
@@ -61,7 +61,7 @@
     WHEN("a server answers with failures")
     {
         record_success(*first);
-        note_failure(*first, now, false);
+        record_failure(*first, now, false);
         CHECK(out_of_reach(now).empty());
     }
     WHEN("a server of the host's own domain comes")
--- a/Tests/LibServing/TestTables.cpp
+++ b/Tests/LibServing/TestTables.cpp
@@ -102,7 +102,7 @@
     }
     WHEN("the near one cannot be reached")
     {
-        note_failure(*near, now, true);
+        record_failure(*near, now, true);
         CHECK(choose() == "far");
         THEN("it is tried again when its time is over")
         {
@@ -115,7 +115,7 @@
     WHEN("the near one fails what it is given")
     {
         for (int i = 0; i < 3; ++i)
-            note_failure(*near, now, false);
+            record_failure(*near, now, false);
         CHECK(choose() == "far");
         CHECK_FALSE(near->is_avoided(now));
     }
