--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -225,7 +225,7 @@
 void record_success(Backend& backend)
 {
     backend.health.peer_avoidance.clear();
-    backend.health.failures_in_a_row = 0;
+    backend.health.consecutive_failures = 0;
     backend.health.avoid_until = {};
     backend.health.refusals_in_a_row = 0;
     backend.health.refused_until = {};
@@ -237,12 +237,12 @@
 {
     auto& health = backend.health;
     health.failure_share += (1 - health.failure_share) * newest_request_weight;
-    ++health.failures_in_a_row;
+    ++health.consecutive_failures;
     if (is_unreachable)
         health.unreachable_at = now;
-    auto counted = is_unreachable ? health.failures_in_a_row
-        : health.failures_in_a_row > tolerated_failures_in_a_row
-        ? health.failures_in_a_row - tolerated_failures_in_a_row
+    auto counted = is_unreachable ? health.consecutive_failures
+        : health.consecutive_failures > tolerated_failures_in_a_row
+        ? health.consecutive_failures - tolerated_failures_in_a_row
         : 0;
     if (counted == 0)
         return 0s;
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -59,7 +59,7 @@
 struct Health {
     /// Share of the latest requests that failed by its fault, as a moving average.
     double failure_share { 0 };
-    u32 failures_in_a_row { 0 };
+    u32 consecutive_failures { 0 };
     Instant avoid_until {};
     /// When the last connection could not be made; nothing after a success.
     std::optional<Instant> unreachable_at;
--- a/Libraries/LibServing/Suspicion.cpp
+++ b/Libraries/LibServing/Suspicion.cpp
@@ -21,7 +21,7 @@
     context.log.event(Core::EventNumber::BackendServerSuspected, backend.server.id.value())
         .with("request", failure.request)
         .with("avoided_ms", avoidance)
-        .with("failures_in_a_row", backend.health.failures_in_a_row)
+        .with("failures_in_a_row", backend.health.consecutive_failures)
         .with("reason", failure.reason);
     if (failure.is_unreachable)
         context.backend_unreachable(backend, avoidance);
