--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -227,7 +227,7 @@
     backend.health.peer_avoidance.clear();
     backend.health.consecutive_failures = 0;
     backend.health.avoid_until = {};
-    backend.health.refusals_in_a_row = 0;
+    backend.health.consecutive_refusals = 0;
     backend.health.refused_until = {};
     backend.health.unreachable_at = {};
     backend.health.failure_share *= 1 - newest_request_weight;
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -64,7 +64,7 @@
     /// When the last connection could not be made; nothing after a success.
     std::optional<Instant> unreachable_at;
     /// Answers that it had not run a request, its own or to other hosts, since its last success here.
-    u32 refusals_in_a_row { 0 };
+    u32 consecutive_refusals { 0 };
     /// Until when it is avoided for them.
     Instant refused_until {};
     /// Until when other hosts avoid it, because they could not connect to it.
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -98,7 +98,7 @@
     auto& refusing = *message.add_refusing();
     refusing.set_backend(backend.server.id.value());
     refusing.set_start(backend.server.start.value());
-    refusing.set_refusals(backend.health.refusals_in_a_row);
+    refusing.set_refusals(backend.health.consecutive_refusals);
     this->broadcast(message);
     this->send_elsewhere(std::move(message));
 }
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -28,7 +28,7 @@
     context.log.event(Core::EventNumber::BackendServerSuspected, backend.server.id.value())
         .with("request", request)
         .with("avoided_ms", backend.health.refused_until - context.now())
-        .with("refusals_in_a_row", backend.health.refusals_in_a_row)
+        .with("refusals_in_a_row", backend.health.consecutive_refusals)
         .with("reason", reason);
 }
 
@@ -39,8 +39,8 @@
     // does not postpone the next attempt.
     if (context.now() < health.refused_until)
         return;
-    ++health.refusals_in_a_row;
-    health.refused_until = context.now() + avoidance_after(health.refusals_in_a_row);
+    ++health.consecutive_refusals;
+    health.refused_until = context.now() + avoidance_after(health.consecutive_refusals);
     log_avoidance(context, backend, request, reason);
     context.backend_refuses(backend);
 }
@@ -52,7 +52,7 @@
         if (!backend || !backend->matches_start(ServerStart(entry.start())) || entry.refusals() == 0)
             continue;
         auto& health = backend->health;
-        health.refusals_in_a_row = std::max(health.refusals_in_a_row, entry.refusals());
+        health.consecutive_refusals = std::max(health.consecutive_refusals, entry.refusals());
         health.refused_until = std::max(health.refused_until, context.now() + avoidance_after(entry.refusals()));
     }
 }
--- a/Tests/LibServing/TestRefusal.cpp
+++ b/Tests/LibServing/TestRefusal.cpp
@@ -68,7 +68,7 @@
         wire::HostUse message;
         auto& refusing = *message.add_refusing();
         refusing.set_backend(backend.server.id.value());
-        refusing.set_refusals(backend.health.refusals_in_a_row);
+        refusing.set_refusals(backend.health.consecutive_refusals);
         this->in_transit.push_back({ this->now + 3ms, &from, message });
     }
 
@@ -192,7 +192,7 @@
     {
         record_refusal(host, *engine, "g2", "status 503");
         CHECK(announced == 1);
-        CHECK(engine->health.refusals_in_a_row == 1);
+        CHECK(engine->health.consecutive_refusals == 1);
     }
     THEN("the avoidance ends soon")
     {
@@ -209,7 +209,7 @@
         AND_WHEN("it accepts a request")
         {
             record_success(*engine);
-            CHECK(engine->health.refusals_in_a_row == 0);
+            CHECK(engine->health.consecutive_refusals == 0);
         }
     }
     THEN("a successful request ends the avoidance")
