--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -204,7 +204,7 @@
 
 bool Backend::is_avoided(Instant now) const
 {
-    if (now < this->health.avoid_until || now < this->health.refused_until)
+    if (now < this->health.avoid_until || now < this->health.refusal_avoidance_until)
         return true;
     auto others
         = std::ranges::count_if(this->health.peer_avoidance, [now](auto const& told) { return now < told.second; });
@@ -228,7 +228,7 @@
     backend.health.consecutive_failures = 0;
     backend.health.avoid_until = {};
     backend.health.consecutive_refusals = 0;
-    backend.health.refused_until = {};
+    backend.health.refusal_avoidance_until = {};
     backend.health.unreachable_at = {};
     backend.health.failure_share *= 1 - newest_request_weight;
 }
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -66,7 +66,7 @@
     /// Answers that it had not run a request, its own or to other hosts, since its last success here.
     u32 consecutive_refusals { 0 };
     /// Until when it is avoided for them.
-    Instant refused_until {};
+    Instant refusal_avoidance_until {};
     /// Until when other hosts avoid it, because they could not connect to it.
     std::map<MemberId, Instant> peer_avoidance;
 };
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -27,7 +27,7 @@
 {
     context.log.event(Core::EventNumber::BackendServerSuspected, backend.server.id.value())
         .with("request", request)
-        .with("avoided_ms", backend.health.refused_until - context.now())
+        .with("avoided_ms", backend.health.refusal_avoidance_until - context.now())
         .with("refusals_in_a_row", backend.health.consecutive_refusals)
         .with("reason", reason);
 }
@@ -37,10 +37,10 @@
     auto& health = backend.health;
     // If all backend servers are avoided, they are tried anyway. A rejection during the avoidance is then expected, and
     // does not postpone the next attempt.
-    if (context.now() < health.refused_until)
+    if (context.now() < health.refusal_avoidance_until)
         return;
     ++health.consecutive_refusals;
-    health.refused_until = context.now() + avoidance_after(health.consecutive_refusals);
+    health.refusal_avoidance_until = context.now() + avoidance_after(health.consecutive_refusals);
     log_avoidance(context, backend, request, reason);
     context.backend_refuses(backend);
 }
@@ -53,7 +53,8 @@
             continue;
         auto& health = backend->health;
         health.consecutive_refusals = std::max(health.consecutive_refusals, entry.refusals());
-        health.refused_until = std::max(health.refused_until, context.now() + avoidance_after(entry.refusals()));
+        health.refusal_avoidance_until
+            = std::max(health.refusal_avoidance_until, context.now() + avoidance_after(entry.refusals()));
     }
 }
 
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -208,7 +208,7 @@
 guard "a state that is not named is no state" TestPlatform "Scenario: a backend server's entry is read, or names no server" \
     platform/Rows.cpp 'state != "ready" && state != "draining"' "false"
 guard "a refusal is believed" TestLibServing "Scenario: engines that refuse do not draw all hosts because they look empty" \
-    Libraries/LibServing/BackendTable.cpp " || now < this->health.refused_until" ""
+    Libraries/LibServing/BackendTable.cpp " || now < this->health.refusal_avoidance_until" ""
 guard "the table of hosts is read to its end" TestLibServing \
     "Scenario: a host reads all pages of the platform's table of hosts" \
     Libraries/LibServing/HostDirectory.h "page.value().more && " "false && "
--- a/Tests/LibServing/TestRefusal.cpp
+++ b/Tests/LibServing/TestRefusal.cpp
@@ -220,10 +220,10 @@
     WHEN("it rejects for a long time")
     {
         for (int i = 0; i < 20; ++i) {
-            now = std::max(now, engine->health.refused_until);
+            now = std::max(now, engine->health.refusal_avoidance_until);
             record_refusal(host, *engine, "g2", "status 503");
         }
-        THEN("it is still tried every four seconds") { CHECK(engine->health.refused_until == now + 4s); }
+        THEN("it is still tried every four seconds") { CHECK(engine->health.refusal_avoidance_until == now + 4s); }
     }
     WHEN("another host announces an unknown backend server, or no count")
     {
