--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -278,7 +278,7 @@
             this->reject_row(row, decoded.error());
             unusable.emplace_back(row.key);
         }
-        this->backends.listed(servers, unusable);
+        this->backends.apply_list(servers, unusable);
     }
 
     void apply_backend(Platform::RowChange const& change)
--- a/Tests/LibServing/TestBackendList.cpp
+++ b/Tests/LibServing/TestBackendList.cpp
@@ -32,7 +32,7 @@
     BackendList list(context,
         { [](BackendPointer const&) {},
             [&](BackendPointer const& backend) { left.push_back(backend->server.id.value()); } });
-    list.listed({ server("s1"), server("s2") });
+    list.apply_list({ server("s1"), server("s2") });
     REQUIRE(context.backends.all().size() == 2);
 
     WHEN("an entry goes while the platform is well")
@@ -79,7 +79,7 @@
     }
     WHEN("the list is read anew and one is missing")
     {
-        list.listed({ server("s2") });
+        list.apply_list({ server("s2") });
         CHECK_FALSE(context.backends.find(EngineId("s1")));
         CHECK(context.backends.find(EngineId("s2")));
     }
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -166,7 +166,7 @@
     THEN("what is under way goes on") { CHECK(told_ends == 0); }
     WHEN("the list still has it")
     {
-        host.list.listed({ row(1'000) });
+        host.list.apply_list({ row(1'000) });
         host.list.changed(row(1'000, true));
         CHECK_FALSE(host.takes_work());
     }
@@ -191,7 +191,7 @@
 SCENARIO("an entry that cannot be used names no server to give work to")
 {
     Believer host;
-    host.list.listed({ row(1'000) }, { EngineId("never known") });
+    host.list.apply_list({ row(1'000) }, { EngineId("never known") });
     CHECK(host.context.backends.all().size() == 1);
     host.list.unusable(id);
     CHECK_FALSE(host.takes_work());
@@ -209,13 +209,13 @@
     }
     WHEN("the list is read anew, and it is still unusable")
     {
-        host.list.listed({}, { id });
+        host.list.apply_list({}, { id });
         CHECK_FALSE(host.takes_work());
         CHECK(host.backend());
     }
     WHEN("the entry goes")
     {
-        host.list.listed({}, {});
+        host.list.apply_list({}, {});
         CHECK_FALSE(host.backend());
     }
 }
