--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -287,7 +287,7 @@
             return this->backends.removed(EngineId(change.row.key));
         auto decoded = P::decode_backend_server(change.row);
         if (decoded)
-            return this->backends.changed(decoded.value());
+            return this->backends.apply_entry(decoded.value());
         this->reject_row(change.row, decoded.error());
         this->backends.unusable(EngineId(change.row.key));
     }
--- a/Tests/LibServing/TestBackendList.cpp
+++ b/Tests/LibServing/TestBackendList.cpp
@@ -52,7 +52,7 @@
             CHECK(context.backends.find(EngineId("s1")));
             AND_WHEN("it comes back")
             {
-                list.changed(server("s1"));
+                list.apply_entry(server("s1"));
                 now += 10s;
                 list.tick();
                 CHECK(context.backends.find(EngineId("s1")));
@@ -73,7 +73,7 @@
         CHECK(backend->ends_at == now + 1s);
         THEN("the platform's own word later changes nothing more")
         {
-            list.changed(server("s2", true));
+            list.apply_entry(server("s2", true));
             CHECK(left == std::vector<std::string> { "s2" });
         }
     }
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -71,7 +71,7 @@
 SCENARIO("a backend server that starts again under its id is another server")
 {
     Believer host;
-    host.list.changed(row(1'000));
+    host.list.apply_entry(row(1'000));
     auto const former = host.backend();
     former->engine.own_generations = 3;
     former->engine.own_tokens = 9000;
@@ -83,8 +83,8 @@
     WHEN("its new start is listed")
     {
         record_failure(*former, host.now, true);
-        host.list.changed(row(1'000, true));
-        host.list.changed(row(2'000));
+        host.list.apply_entry(row(1'000, true));
+        host.list.apply_entry(row(2'000));
         THEN("nothing of the former one holds for it")
         {
             REQUIRE(host.backend());
@@ -97,7 +97,7 @@
         THEN("what was under way at the former one has ended") { CHECK(told_ends == 1); }
         AND_WHEN("a list that lags still has the former one, which was leaving")
         {
-            host.list.changed(row(1'000, true));
+            host.list.apply_entry(row(1'000, true));
             CHECK(host.backend()->server.start == ServerStart(2'000));
             CHECK(host.takes_work());
         }
@@ -122,7 +122,7 @@
         AND_WHEN("its entry goes, and one of the former start comes")
         {
             host.list.removed(id);
-            host.list.changed(row(1'000));
+            host.list.apply_entry(row(1'000));
             CHECK_FALSE(host.backend());
         }
     }
@@ -132,7 +132,7 @@
         THEN("the known one does not have that work") { CHECK(former->engine.tokens() == 9000); }
         AND_WHEN("it is listed")
         {
-            host.list.changed(row(2'000));
+            host.list.apply_entry(row(2'000));
             CHECK(host.backend()->engine.tokens() == 7000);
         }
     }
@@ -141,23 +141,23 @@
 SCENARIO("an entry that does not tell its start is about the server that is known")
 {
     Believer host;
-    host.list.changed(row(1'000));
+    host.list.apply_entry(row(1'000));
     host.list.unusable(id);
-    host.list.changed(row(0));
+    host.list.apply_entry(row(0));
     CHECK(host.takes_work());
     auto const known = host.backend();
-    host.list.changed(row(0, true));
+    host.list.apply_entry(row(0, true));
     CHECK(host.backend() == known);
     CHECK_FALSE(host.takes_work());
     CHECK(host.left == std::vector<i64> { 1'000 });
-    host.list.changed(row(2'000));
+    host.list.apply_entry(row(2'000));
     CHECK(host.takes_work());
 }
 
 SCENARIO("a backend server in whose place another process answers takes no more work")
 {
     Believer host;
-    host.list.changed(row(1'000));
+    host.list.apply_entry(row(1'000));
     auto const former = host.backend();
     int told_ends = 0;
     auto token = former->observe_termination([&] { ++told_ends; });
@@ -167,12 +167,12 @@
     WHEN("the list still has it")
     {
         host.list.apply_list({ row(1'000) });
-        host.list.changed(row(1'000, true));
+        host.list.apply_entry(row(1'000, true));
         CHECK_FALSE(host.takes_work());
     }
     WHEN("it is listed at another address")
     {
-        host.list.changed(row(1'000, false, 1001));
+        host.list.apply_entry(row(1'000, false, 1001));
         CHECK(host.takes_work());
         AND_WHEN("word of its former address comes late")
         {
@@ -182,7 +182,7 @@
     }
     WHEN("it is listed with another start")
     {
-        host.list.changed(row(2'000));
+        host.list.apply_entry(row(2'000));
         CHECK(host.takes_work());
         CHECK(told_ends == 1);
     }
@@ -198,12 +198,12 @@
     THEN("what runs there goes on") { CHECK(host.left.empty()); }
     WHEN("a good entry comes")
     {
-        host.list.changed(row(1'000));
+        host.list.apply_entry(row(1'000));
         CHECK(host.takes_work());
     }
     WHEN("a good entry says that it leaves")
     {
-        host.list.changed(row(1'000, true));
+        host.list.apply_entry(row(1'000, true));
         CHECK_FALSE(host.takes_work());
         CHECK(host.left == std::vector<i64> { 1'000 });
     }
@@ -261,7 +261,7 @@
             case 0:
             case 1: {
                 bool const leaves = what % 7 == 1;
-                host.list.changed(row(start, leaves));
+                host.list.apply_entry(row(start, leaves));
                 model.listed(start, leaves);
                 break;
             }
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -42,7 +42,7 @@
         this->context.clock = [this] { return this->now; };
     }
 
-    void list(std::string const& id, i64 start = 1'000) { this->servers.changed(entry_of(id, start)); }
+    void list(std::string const& id, i64 start = 1'000) { this->servers.apply_entry(entry_of(id, start)); }
     void remove(std::string const& id) { this->servers.removed(EngineId(id)); }
     [[nodiscard]] BackendPointer server(std::string const& id) const
     {
