--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -289,7 +289,7 @@
         if (decoded)
             return this->backends.apply_entry(decoded.value());
         this->reject_row(change.row, decoded.error());
-        this->backends.unusable(EngineId(change.row.key));
+        this->backends.mark_unusable(EngineId(change.row.key));
     }
 
     void reject_row(Platform::Row const& row, Error const& error)
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -142,7 +142,7 @@
 {
     Believer host;
     host.list.apply_entry(row(1'000));
-    host.list.unusable(id);
+    host.list.mark_unusable(id);
     host.list.apply_entry(row(0));
     CHECK(host.takes_work());
     auto const known = host.backend();
@@ -193,7 +193,7 @@
     Believer host;
     host.list.apply_list({ row(1'000) }, { EngineId("never known") });
     CHECK(host.context.backends.all().size() == 1);
-    host.list.unusable(id);
+    host.list.mark_unusable(id);
     CHECK_FALSE(host.takes_work());
     THEN("what runs there goes on") { CHECK(host.left.empty()); }
     WHEN("a good entry comes")
@@ -276,7 +276,7 @@
                 model.has_terminated = model.has_terminated || is_this;
                 break;
             case 4:
-                host.list.unusable(id);
+                host.list.mark_unusable(id);
                 model.is_unusable = model.is_listed;
                 break;
             case 5:
