--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -284,7 +284,7 @@
     void apply_backend(Platform::RowChange const& change)
     {
         if (change.removed)
-            return this->backends.removed(EngineId(change.row.key));
+            return this->backends.handle_removal(EngineId(change.row.key));
         auto decoded = P::decode_backend_server(change.row);
         if (decoded)
             return this->backends.apply_entry(decoded.value());
--- a/Tests/LibServing/TestBackendList.cpp
+++ b/Tests/LibServing/TestBackendList.cpp
@@ -37,14 +37,14 @@
 
     WHEN("an entry goes while the platform is well")
     {
-        list.removed(EngineId("s1"));
+        list.handle_removal(EngineId("s1"));
         CHECK_FALSE(context.backends.find(EngineId("s1")));
         CHECK(left == std::vector<std::string> { "s1" });
     }
     WHEN("an entry goes just after the platform came back")
     {
         list.platform_regained(2s);
-        list.removed(EngineId("s1"));
+        list.handle_removal(EngineId("s1"));
         THEN("it is kept for as long as a live one may take to come back")
         {
             now += 1900ms;
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -121,7 +121,7 @@
         }
         AND_WHEN("its entry goes, and one of the former start comes")
         {
-            host.list.removed(id);
+            host.list.handle_removal(id);
             host.list.apply_entry(row(1'000));
             CHECK_FALSE(host.backend());
         }
@@ -280,7 +280,7 @@
                 model.is_unusable = model.is_listed;
                 break;
             case 5:
-                host.list.removed(id);
+                host.list.handle_removal(id);
                 model.is_listed = false;
                 break;
             default:
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -43,7 +43,7 @@
     }
 
     void list(std::string const& id, i64 start = 1'000) { this->servers.apply_entry(entry_of(id, start)); }
-    void remove(std::string const& id) { this->servers.removed(EngineId(id)); }
+    void remove(std::string const& id) { this->servers.handle_removal(EngineId(id)); }
     [[nodiscard]] BackendPointer server(std::string const& id) const
     {
         return this->context.backends.find(EngineId(id));
