--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -100,7 +100,7 @@
             this->peers.tell_ended(server);
         };
         this->context.backend_leaves = [this](Backend const& backend) {
-            this->backends.leaving(backend.server.id, backend.server.start, backend.ends_at);
+            this->backends.handle_leaving(backend.server.id, backend.server.start, backend.ends_at);
             this->peers.tell_leaving(backend);
         };
         this->peers.start();
@@ -227,7 +227,7 @@
     {
         PeerLink::Observer observer;
         observer.backend_leaves = [this](EngineId const& id, ServerStart start, std::optional<Instant> ends_at) {
-            this->backends.leaving(id, start, ends_at);
+            this->backends.handle_leaving(id, start, ends_at);
         };
         observer.backend_ended = [this](EngineId const& id, ServerStart start, Address const& address) {
             this->backends.ended(id, start, address);
--- a/Tests/LibServing/TestBackendList.cpp
+++ b/Tests/LibServing/TestBackendList.cpp
@@ -67,7 +67,7 @@
     }
     WHEN("another host says that one is leaving")
     {
-        list.leaving(EngineId("s2"), ServerStart(0), now + 1s);
+        list.handle_leaving(EngineId("s2"), ServerStart(0), now + 1s);
         auto backend = context.backends.find(EngineId("s2"));
         CHECK(backend->availability == Availability::Leaving);
         CHECK(backend->ends_at == now + 1s);
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -106,7 +106,7 @@
             host.peer_has(1'000, 7000);
             host.peer_cannot_connect(1'000, "host-2");
             host.peer_cannot_connect(1'000, "host-3");
-            host.list.leaving(id, ServerStart(1'000), {});
+            host.list.handle_leaving(id, ServerStart(1'000), {});
             host.list.ended(id, ServerStart(1'000), Address("127.0.0.1:1000"));
             CHECK(host.takes_work());
             CHECK(host.backend()->engine.tokens() == 0);
@@ -116,7 +116,7 @@
         {
             host.peer_has(2'000, 7000);
             CHECK(host.backend()->engine.tokens() == 7000);
-            host.list.leaving(id, ServerStart(2'000), {});
+            host.list.handle_leaving(id, ServerStart(2'000), {});
             CHECK_FALSE(host.takes_work());
         }
         AND_WHEN("its entry goes, and one of the former start comes")
@@ -266,7 +266,7 @@
                 break;
             }
             case 2:
-                host.list.leaving(id, ServerStart(start), {});
+                host.list.handle_leaving(id, ServerStart(start), {});
                 model.is_leaving = model.is_leaving || is_this;
                 if (is_this)
                     model.said_to_leave.insert(start);
