--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -96,7 +96,7 @@
             auto const server = backend.server;
             if (backend.has_terminated)
                 return;
-            this->backends.ended(server.id, server.start, server.address);
+            this->backends.handle_termination(server.id, server.start, server.address);
             this->peers.tell_ended(server);
         };
         this->context.backend_leaves = [this](Backend const& backend) {
@@ -230,7 +230,7 @@
             this->backends.handle_leaving(id, start, ends_at);
         };
         observer.backend_ended = [this](EngineId const& id, ServerStart start, Address const& address) {
-            this->backends.ended(id, start, address);
+            this->backends.handle_termination(id, start, address);
         };
         observer.news
             = [this](wire::PlatformNews const& news, bool is_from_near) { this->news.hear(news, is_from_near); };
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -107,7 +107,7 @@
             host.peer_cannot_connect(1'000, "host-2");
             host.peer_cannot_connect(1'000, "host-3");
             host.list.handle_leaving(id, ServerStart(1'000), {});
-            host.list.ended(id, ServerStart(1'000), Address("127.0.0.1:1000"));
+            host.list.handle_termination(id, ServerStart(1'000), Address("127.0.0.1:1000"));
             CHECK(host.takes_work());
             CHECK(host.backend()->engine.tokens() == 0);
             CHECK_FALSE(host.backend()->is_avoided(host.now));
@@ -161,7 +161,7 @@
     auto const former = host.backend();
     int told_ends = 0;
     auto token = former->observe_termination([&] { ++told_ends; });
-    host.list.ended(id, ServerStart(1'000), Address("127.0.0.1:1000"));
+    host.list.handle_termination(id, ServerStart(1'000), Address("127.0.0.1:1000"));
     CHECK_FALSE(host.takes_work());
     THEN("what is under way goes on") { CHECK(told_ends == 0); }
     WHEN("the list still has it")
@@ -176,7 +176,7 @@
         CHECK(host.takes_work());
         AND_WHEN("word of its former address comes late")
         {
-            host.list.ended(id, ServerStart(1'000), Address("127.0.0.1:1000"));
+            host.list.handle_termination(id, ServerStart(1'000), Address("127.0.0.1:1000"));
             CHECK(host.takes_work());
         }
     }
@@ -272,7 +272,7 @@
                     model.said_to_leave.insert(start);
                 break;
             case 3:
-                host.list.ended(id, ServerStart(start), Address("127.0.0.1:1000"));
+                host.list.handle_termination(id, ServerStart(start), Address("127.0.0.1:1000"));
                 model.has_terminated = model.has_terminated || is_this;
                 break;
             case 4:
