--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -15,7 +15,7 @@
 {
 }
 
-void BackendList::listed(std::vector<BackendServer> const& servers, std::vector<EngineId> const& unusable)
+void BackendList::apply_list(std::vector<BackendServer> const& servers, std::vector<EngineId> const& unusable)
 {
     std::set<EngineId> present(unusable.begin(), unusable.end());
     for (auto const& id : unusable)
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -25,7 +25,7 @@
     BackendList(ServingContext& context, Observer observer);
 
     /// The whole list, at one moment, with the ids of entries that cannot be used.
-    void listed(std::vector<BackendServer> const&, std::vector<EngineId> const& unusable = {});
+    void apply_list(std::vector<BackendServer> const&, std::vector<EngineId> const& unusable = {});
     void changed(BackendServer const&);
     /// Its entry cannot be used: it names no server to give work to, until a good entry comes. What runs there goes on,
     /// since another writer's mistake says nothing of the server.
