--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -22,7 +22,7 @@
         this->unusable(id);
     for (auto const& server : servers) {
         present.insert(server.id);
-        this->changed(server);
+        this->apply_entry(server);
     }
     std::vector<EngineId> missing;
     for (auto const& [id, backend] : this->context.backends.all()) {
@@ -33,7 +33,7 @@
         this->removed(id);
 }
 
-void BackendList::changed(BackendServer const& server)
+void BackendList::apply_entry(BackendServer const& server)
 {
     auto now = this->context.now();
     this->held_removals.erase(server.id);
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -26,7 +26,7 @@
 
     /// The whole list, at one moment, with the ids of entries that cannot be used.
     void apply_list(std::vector<BackendServer> const&, std::vector<EngineId> const& unusable = {});
-    void changed(BackendServer const&);
+    void apply_entry(BackendServer const&);
     /// Its entry cannot be used: it names no server to give work to, until a good entry comes. What runs there goes on,
     /// since another writer's mistake says nothing of the server.
     void unusable(EngineId const&);
