--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -19,7 +19,7 @@
 {
     std::set<EngineId> present(unusable.begin(), unusable.end());
     for (auto const& id : unusable)
-        this->unusable(id);
+        this->mark_unusable(id);
     for (auto const& server : servers) {
         present.insert(server.id);
         this->apply_entry(server);
@@ -65,7 +65,7 @@
     }
 }
 
-void BackendList::unusable(EngineId const& id)
+void BackendList::mark_unusable(EngineId const& id)
 {
     this->held_removals.erase(id);
     if (auto backend = this->context.backends.find(id))
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -29,7 +29,7 @@
     void apply_entry(BackendServer const&);
     /// Its entry cannot be used: it names no server to give work to, until a good entry comes. What runs there goes on,
     /// since another writer's mistake says nothing of the server.
-    void unusable(EngineId const&);
+    void mark_unusable(EngineId const&);
     void removed(EngineId const&);
     /// Another host, or the backend server itself, says that the one which started then takes no new work.
     void leaving(EngineId const&, ServerStart, std::optional<Instant> ends_at);
