--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -30,7 +30,7 @@
             missing.push_back(id);
     }
     for (auto const& id : missing)
-        this->removed(id);
+        this->handle_removal(id);
 }
 
 void BackendList::apply_entry(BackendServer const& server)
@@ -103,7 +103,7 @@
     this->observer.leaves(backend);
 }
 
-void BackendList::removed(EngineId const& id)
+void BackendList::handle_removal(EngineId const& id)
 {
     auto now = this->context.now();
     if (now >= this->recovery_over_at)
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -30,7 +30,7 @@
     /// Its entry cannot be used: it names no server to give work to, until a good entry comes. What runs there goes on,
     /// since another writer's mistake says nothing of the server.
     void mark_unusable(EngineId const&);
-    void removed(EngineId const&);
+    void handle_removal(EngineId const&);
     /// Another host, or the backend server itself, says that the one which started then takes no new work.
     void leaving(EngineId const&, ServerStart, std::optional<Instant> ends_at);
     /// Another process answers where it was: no work is given to it until the list has another start or address of it,
