--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -85,7 +85,7 @@
         .with("reason", "another process answers at its address");
 }
 
-void BackendList::leaving(EngineId const& id, ServerStart start, std::optional<Instant> ends_at)
+void BackendList::handle_leaving(EngineId const& id, ServerStart start, std::optional<Instant> ends_at)
 {
     auto backend = this->context.backends.find(id);
     if (!backend || !backend->matches_start(start))
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -32,7 +32,7 @@
     void mark_unusable(EngineId const&);
     void handle_removal(EngineId const&);
     /// Another host, or the backend server itself, says that the one which started then takes no new work.
-    void leaving(EngineId const&, ServerStart, std::optional<Instant> ends_at);
+    void handle_leaving(EngineId const&, ServerStart, std::optional<Instant> ends_at);
     /// Another process answers where it was: no work is given to it until the list has another start or address of it,
     /// or has it anew. What is under way is left to its connection: only a later start under its id proves the end.
     void ended(EngineId const&, ServerStart, Address const&);
