--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -72,7 +72,7 @@
         backend->has_unusable_entry = true;
 }
 
-void BackendList::ended(EngineId const& id, ServerStart start, Address const& address)
+void BackendList::handle_termination(EngineId const& id, ServerStart start, Address const& address)
 {
     auto backend = this->context.backends.find_running(id);
     if (!backend || backend->has_terminated || !backend->matches_start(start) || backend->server.address != address)
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -35,7 +35,7 @@
     void handle_leaving(EngineId const&, ServerStart, std::optional<Instant> ends_at);
     /// Another process answers where it was: no work is given to it until the list has another start or address of it,
     /// or has it anew. What is under way is left to its connection: only a later start under its id proves the end.
-    void ended(EngineId const&, ServerStart, Address const&);
+    void handle_termination(EngineId const&, ServerStart, Address const&);
     /// The platform answers again; entries that lapsed may come back within `recovery`.
     void platform_regained(Duration recovery);
     [[nodiscard]] Duration recovery_left() const;
