--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -126,7 +126,7 @@
     this->observer.leaves(backend);
 }
 
-void BackendList::platform_regained(Duration recovery)
+void BackendList::handle_platform_recovery(Duration recovery)
 {
     this->recovery_over_at = std::max(this->recovery_over_at, this->context.now() + recovery);
 }
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -37,7 +37,7 @@
     /// or has it anew. What is under way is left to its connection: only a later start under its id proves the end.
     void handle_termination(EngineId const&, ServerStart, Address const&);
     /// The platform answers again; entries that lapsed may come back within `recovery`.
-    void platform_regained(Duration recovery);
+    void handle_platform_recovery(Duration recovery);
     [[nodiscard]] Duration recovery_left() const;
     /// Carries out removals whose time has come.
     void tick();
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -204,7 +204,7 @@
         observer.available = [this] {
             this->context.reach.platform_answers();
             this->log.event(Core::EventNumber::PlatformAvailable, P::backend_table);
-            this->backends.platform_regained(this->settings.list_recovery_time);
+            this->backends.handle_platform_recovery(this->settings.list_recovery_time);
         };
         observer.listed = [this](std::vector<Platform::Row> const& rows, u64 version) {
             this->log_listed(P::backend_table, rows.size(), version);
--- a/Libraries/LibServing/NewsExchange.h
+++ b/Libraries/LibServing/NewsExchange.h
@@ -64,7 +64,7 @@
         if (!message.has_rows() || !rows)
             return follower->catch_up(message.version());
         if (message.recovery_left_milliseconds() > 0)
-            this->backends.platform_regained(std::chrono::milliseconds(message.recovery_left_milliseconds()));
+            this->backends.handle_platform_recovery(std::chrono::milliseconds(message.recovery_left_milliseconds()));
         this->logs[message.table()].add(message);
         Platform::TableUpdate news;
         news.previous_change = message.previous_change();
--- a/Tests/LibServing/TestBackendList.cpp
+++ b/Tests/LibServing/TestBackendList.cpp
@@ -43,7 +43,7 @@
     }
     WHEN("an entry goes just after the platform came back")
     {
-        list.platform_regained(2s);
+        list.handle_platform_recovery(2s);
         list.handle_removal(EngineId("s1"));
         THEN("it is kept for as long as a live one may take to come back")
         {
