--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -36,7 +36,7 @@
 void BackendList::apply_entry(BackendServer const& server)
 {
     auto now = this->context.now();
-    this->held_removals.erase(server.id);
+    this->deferred_removals.erase(server.id);
     auto before = this->context.backends.find(server.id);
     if (before && before->matches_start(server.start))
         before->has_unusable_entry = false;
@@ -67,7 +67,7 @@
 
 void BackendList::mark_unusable(EngineId const& id)
 {
-    this->held_removals.erase(id);
+    this->deferred_removals.erase(id);
     if (auto backend = this->context.backends.find(id))
         backend->has_unusable_entry = true;
 }
@@ -108,7 +108,7 @@
     auto now = this->context.now();
     if (now >= this->recovery_over_at)
         return this->remove_now(id);
-    this->held_removals.try_emplace(id, this->recovery_over_at);
+    this->deferred_removals.try_emplace(id, this->recovery_over_at);
 }
 
 void BackendList::remove_now(EngineId const& id)
@@ -141,11 +141,11 @@
     auto now = this->context.now();
     this->context.backends.expire_removed(now);
     while (true) {
-        auto due = std::ranges::find_if(this->held_removals, [&](auto const& held) { return held.second <= now; });
-        if (due == this->held_removals.end())
+        auto due = std::ranges::find_if(this->deferred_removals, [&](auto const& held) { return held.second <= now; });
+        if (due == this->deferred_removals.end())
             return;
         auto id = due->first;
-        this->held_removals.erase(due);
+        this->deferred_removals.erase(due);
         this->remove_now(id);
     }
 }
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -48,7 +48,7 @@
     ServingContext& context;
     Observer observer;
     Instant recovery_over_at {};
-    std::map<EngineId, Instant> held_removals;
+    std::map<EngineId, Instant> deferred_removals;
 };
 
 }
