--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -106,9 +106,9 @@
 void BackendList::handle_removal(EngineId const& id)
 {
     auto now = this->context.now();
-    if (now >= this->recovery_over_at)
+    if (now >= this->recovery_ends_at)
         return this->remove_now(id);
-    this->deferred_removals.try_emplace(id, this->recovery_over_at);
+    this->deferred_removals.try_emplace(id, this->recovery_ends_at);
 }
 
 void BackendList::remove_now(EngineId const& id)
@@ -128,12 +128,12 @@
 
 void BackendList::handle_platform_recovery(Duration recovery)
 {
-    this->recovery_over_at = std::max(this->recovery_over_at, this->context.now() + recovery);
+    this->recovery_ends_at = std::max(this->recovery_ends_at, this->context.now() + recovery);
 }
 
 Duration BackendList::recovery_left() const
 {
-    return std::max<Duration>(0s, this->recovery_over_at - this->context.now());
+    return std::max<Duration>(0s, this->recovery_ends_at - this->context.now());
 }
 
 void BackendList::tick()
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -47,7 +47,7 @@
 
     ServingContext& context;
     Observer observer;
-    Instant recovery_over_at {};
+    Instant recovery_ends_at {};
     std::map<EngineId, Instant> deferred_removals;
 };
 
