--- a/Libraries/LibServing/AllowanceShare.h
+++ b/Libraries/LibServing/AllowanceShare.h
@@ -6,13 +6,13 @@
 
 #pragma once
 
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <LibServing/RetryBudget.h>
 
 namespace Serving {
 
 /// Updates the number of hosts that share the allowance in the budget from the set of hosts known here.
-inline void share_allowance(RetryBudget& budget, Reach const& reach, Instant now)
+inline void share_allowance(RetryBudget& budget, Reachability const& reach, Instant now)
 {
     budget.set_sharing_hosts(reach.fleet_size(now), now);
 }
--- a/Libraries/LibServing/HostDirectory.h
+++ b/Libraries/LibServing/HostDirectory.h
@@ -9,7 +9,7 @@
 #include <AK/Identifiers.h>
 #include <AK/Timer.h>
 #include <LibPlatform/ChangeFollower.h>
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <LibWire/Messages.h>
 
 namespace Serving {
--- a/Libraries/LibServing/Reach.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <algorithm>
 #include <set>
 #include <xxhash.h>
@@ -25,7 +25,7 @@
 
 static u64 rank(Address const& host, u64 subject_hash) { return rank(hash_of(host.value()), subject_hash); }
 
-Reach::Host& Reach::entry_of(Address const& host, Instant now)
+Reachability::Host& Reachability::entry_of(Address const& host, Instant now)
 {
     auto [entry, is_new] = this->hosts.try_emplace(host);
     if (is_new) {
@@ -35,21 +35,21 @@
     return entry->second;
 }
 
-void Reach::heard(Address const& host, Said const& said, Instant now)
+void Reachability::heard(Address const& host, Said const& said, Instant now)
 {
     auto& entry = this->entry_of(host, now);
     entry.said = said;
     entry.heard_at = now;
 }
 
-void Reach::heard(Address const& host, Instant now)
+void Reachability::heard(Address const& host, Instant now)
 {
     auto known = this->hosts.find(host);
     if (known != this->hosts.end())
         known->second.heard_at = now;
 }
 
-void Reach::learn(std::span<KnownHost const> known, Instant now)
+void Reachability::learn(std::span<KnownHost const> known, Instant now)
 {
     for (auto const& host : known) {
         if (!this->hosts.contains(host.address))
@@ -59,19 +59,19 @@
         this->table_read_at = now;
 }
 
-Reach::Said Reach::own_word(Duration period, Instant now) const
+Reachability::Said Reachability::own_word(Duration period, Instant now) const
 {
     return { this->own_domain, period, this->platform_lost, this->table_read_at ? this->hosts_of_own_domain(now) : 0 };
 }
 
-u32 Reach::hosts_of_own_domain(Instant now) const
+u32 Reachability::hosts_of_own_domain(Instant now) const
 {
     return 1 + static_cast<u32>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
         return entry.second.said.domain == this->own_domain && may_serve(entry.second, now);
     }));
 }
 
-std::map<FailureDomainId, u32> Reach::hosts_of_other_domains(Instant now) const
+std::map<FailureDomainId, u32> Reachability::hosts_of_other_domains(Instant now) const
 {
     struct Count {
         u32 known { 0 };
@@ -91,7 +91,7 @@
     return hosts_by_domain;
 }
 
-std::optional<u32> Reach::fleet_size(Instant now) const
+std::optional<u32> Reachability::fleet_size(Instant now) const
 {
     if (!this->table_read_at)
         return {};
@@ -101,7 +101,7 @@
     return size;
 }
 
-u32 Reach::near_hosts_before(Address const& own_address, u64 subject_hash, Instant now) const
+u32 Reachability::near_hosts_before(Address const& own_address, u64 subject_hash, Instant now) const
 {
     auto const own_rank = rank(own_address, subject_hash);
     return static_cast<u32>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
@@ -110,7 +110,7 @@
     }));
 }
 
-u32 Reach::part_of(
+u32 Reachability::part_of(
     u32 whole, Address const& own_address, std::string_view subject, FailureDomainId const& domain, Instant now) const
 {
     if (!this->table_read_at)
@@ -132,37 +132,37 @@
     return of_domain / near + (has_one_more ? 1 : 0);
 }
 
-std::optional<Duration> Reach::fleet_known_for(Instant now) const
+std::optional<Duration> Reachability::fleet_known_for(Instant now) const
 {
     if (!this->table_read_at)
         return {};
     return now - *this->table_read_at;
 }
 
-bool Reach::is_near(Address const& host) const
+bool Reachability::is_near(Address const& host) const
 {
     auto known = this->hosts.find(host);
     return known != this->hosts.end() && known->second.said.domain == this->own_domain;
 }
 
-bool Reach::is_heard(Address const& host, Instant now) const
+bool Reachability::is_heard(Address const& host, Instant now) const
 {
     auto known = this->hosts.find(host);
     return known != this->hosts.end() && !is_silent(known->second, now);
 }
 
-bool Reach::is_able_reader(Host const& host, Instant now) const
+bool Reachability::is_able_reader(Host const& host, Instant now) const
 {
     return host.said.domain == this->own_domain && !is_silent(host, now) && !host.said.platform_is_lost;
 }
 
-size_t Reach::able_readers(Instant now) const
+size_t Reachability::able_readers(Instant now) const
 {
     return static_cast<size_t>(
         std::ranges::count_if(this->hosts, [&](auto const& entry) { return this->is_able_reader(entry.second, now); }));
 }
 
-size_t Reach::able_readers_before(Address const& own_address, Instant now) const
+size_t Reachability::able_readers_before(Address const& own_address, Instant now) const
 {
     auto const duty = hash_of(reading_duty);
     auto const own_rank = rank(own_address, duty);
@@ -171,7 +171,7 @@
     }));
 }
 
-size_t Reach::speakers_before(Address const& own_address, Instant now) const
+size_t Reachability::speakers_before(Address const& own_address, Instant now) const
 {
     auto const duty = hash_of(reading_duty);
     auto const own = std::pair(!this->platform_lost, rank(own_address, duty));
@@ -182,12 +182,12 @@
     }));
 }
 
-bool Reach::is_first_reader(Address const& own_address, Instant now) const
+bool Reachability::is_first_reader(Address const& own_address, Instant now) const
 {
     return this->able_readers_before(own_address, now) == 0;
 }
 
-bool Reach::leads_readers(Address const& own_address, Instant now) const
+bool Reachability::leads_readers(Address const& own_address, Instant now) const
 {
     if (this->platform_lost || !this->is_first_reader(own_address, now))
         return false;
@@ -197,7 +197,7 @@
     });
 }
 
-bool Reach::reads_platform(Address const& own_address, Instant now) const
+bool Reachability::reads_platform(Address const& own_address, Instant now) const
 {
     // A host that the platform does not answer goes on asking, to hear when it is back.
     if (this->platform_lost)
@@ -209,7 +209,7 @@
     return this->able_readers_before(own_address, now) < (needs_one ? 1 : readers_of_large_domain);
 }
 
-std::vector<FailureDomainId> Reach::other_domains() const
+std::vector<FailureDomainId> Reachability::other_domains() const
 {
     std::set<FailureDomainId> domains;
     for (auto const& [address, host] : this->hosts) {
@@ -219,7 +219,7 @@
     return { domains.begin(), domains.end() };
 }
 
-std::vector<Address> Reach::receivers_in(FailureDomainId const& domain, u64 draw, Instant now) const
+std::vector<Address> Reachability::receivers_in(FailureDomainId const& domain, u64 draw, Instant now) const
 {
     Host const* latest = nullptr;
     Address receiver;
@@ -248,7 +248,7 @@
     return tried;
 }
 
-std::vector<Address> Reach::receivers_elsewhere(u64 draw, Instant now) const
+std::vector<Address> Reachability::receivers_elsewhere(u64 draw, Instant now) const
 {
     std::vector<Address> receivers;
     for (auto const& domain : this->other_domains())
@@ -256,20 +256,20 @@
     return receivers;
 }
 
-size_t Reach::far_hosts() const
+size_t Reachability::far_hosts() const
 {
     return static_cast<size_t>(std::ranges::count_if(
         this->hosts, [&](auto const& entry) { return entry.second.said.domain != this->own_domain; }));
 }
 
-size_t Reach::hosts_heard_near(Instant now) const
+size_t Reachability::hosts_heard_near(Instant now) const
 {
     return static_cast<size_t>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
         return entry.second.said.domain == this->own_domain && !is_silent(entry.second, now);
     }));
 }
 
-Duration Reach::domain_age(FailureDomainId const& domain, Instant now) const
+Duration Reachability::domain_age(FailureDomainId const& domain, Instant now) const
 {
     Instant heard_at {};
     for (auto const& [address, host] : this->hosts) {
@@ -279,7 +279,7 @@
     return heard_at == Instant {} ? Duration::max() : now - heard_at;
 }
 
-bool Reach::is_cut_off(Instant now) const
+bool Reachability::is_cut_off(Instant now) const
 {
     if (this->platform_lost)
         return true;
@@ -289,7 +289,7 @@
         && std::ranges::all_of(this->hosts, [&](auto const& entry) { return is_silent(entry.second, now); });
 }
 
-bool Reach::looks_after(
+bool Reachability::looks_after(
     Address const& own_address, std::string_view subject, FailureDomainId const& domain, Instant now) const
 {
     auto const subject_hash = hash_of(subject);
@@ -302,7 +302,7 @@
     });
 }
 
-std::vector<FailureDomainId> Reach::silent_domains(Instant now) const
+std::vector<FailureDomainId> Reachability::silent_domains(Instant now) const
 {
     struct Domain {
         Instant heard_at {};
--- a/Libraries/LibServing/Reach.h
+++ b/Libraries/LibServing/Reachability.h
@@ -22,9 +22,9 @@
 
 /// Who speaks for a failure domain, who reads the platform, and what can be told of partitions, from who has been heard
 /// of lately. Hosts of one domain hear each other; of other domains only those are heard that speak for them.
-class Reach {
+class Reachability {
 public:
-    explicit Reach(FailureDomainId own_domain)
+    explicit Reachability(FailureDomainId own_domain)
         : own_domain(std::move(own_domain))
     {
     }
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <LibServing/BackendTable.h>
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <LibServing/RoutingTable.h>
 #include <map>
 
@@ -19,7 +19,7 @@
 /// The requests of a window are therefore distributed by hash, over different hosts for each start of a server.
 class ServerLimits {
 public:
-    ServerLimits(Reach const& reach, Address own_address)
+    ServerLimits(Reachability const& reach, Address own_address)
         : reach(reach)
         , own_address(std::move(own_address))
         , limit_lifetime(limit_lifetime_of(this->own_address))
@@ -62,7 +62,7 @@
 
     [[nodiscard]] static Duration limit_lifetime_of(Address const& own_address);
 
-    Reach const& reach;
+    Reachability const& reach;
     Address own_address;
     Duration limit_lifetime;
     std::shared_ptr<RoutingTable const> routing;
--- a/Libraries/LibServing/ServingContext.h
+++ b/Libraries/LibServing/ServingContext.h
@@ -14,7 +14,7 @@
 #include <LibServing/PlacementRate.h>
 #include <LibServing/ProcessCheck.h>
 #include <LibServing/Quarantine.h>
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <LibServing/RetryBudget.h>
 #include <LibServing/RoutingTable.h>
 #include <LibServing/ServerLimits.h>
@@ -43,7 +43,7 @@
     Http::ConnectionPool connections;
     BackendTable backends;
     RetryBudget budget;
-    Reach reach;
+    Reachability reach;
     ServerLimits server_limits;
     PlacementRate placements;
     ProcessCheck processes;
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -180,7 +180,7 @@
     Libraries/LibServing/RetryBudget.cpp "now - this->known_since >= this->accounting_window()" "true"
 guard "a host that does not know the others has no part" TestFleet \
     "Scenario: all hosts together repeat no more than the bound allows" \
-    Libraries/LibServing/Reach.cpp "    if (!this->table_read_at)
+    Libraries/LibServing/Reachability.cpp "    if (!this->table_read_at)
         return {};
 " ""
 guard "little that was earned is saved" TestFleet "Scenario: all hosts together repeat no more than the bound allows" \
@@ -190,7 +190,7 @@
     Libraries/LibServing/RetryBudget.cpp "account.spent_allowance.upper_bound_within(this->accounting_window(), now)" "0U"
 guard "hosts of other domains are counted as these say" TestLibServing \
     "Scenario: a host counts all that may be serving, also those that it does not hear" \
-    Libraries/LibServing/Reach.cpp "= count.told > 0 ? count.told : count.known;" "= count.known;"
+    Libraries/LibServing/Reachability.cpp "= count.told > 0 ? count.told : count.known;" "= count.known;"
 guard "a later start is another server" TestLibServing "Scenario: words of any start in any order leave what the latest start is" \
     Libraries/LibServing/BackendTable.cpp " || known->server.start < server.start);" ");"
 guard "an earlier start changes nothing" TestLibServing "Scenario: words of any start in any order leave what the latest start is" \
@@ -216,7 +216,7 @@
     "Scenario: changes that others know are awaited from them for a while" \
     Libraries/LibPlatform/ChangeFollower.h "this->timing.peer_update_timeout <= 0s" "true"
 guard "one host reads promptly for all" TestLibServing "Scenario: one host of all domains reads changes promptly for all" \
-    Libraries/LibServing/Reach.cpp "host.said.domain < this->own_domain && !is_silent" "false && !is_silent"
+    Libraries/LibServing/Reachability.cpp "host.said.domain < this->own_domain && !is_silent" "false && !is_silent"
 guard "a service is out of reach by two signs" TestLibServing \
     "Scenario: a domain that has no server of a service is cut off from those that have" \
     Libraries/LibServing/ServiceReach.cpp "return is_silent && " "return "
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -108,14 +108,14 @@
     struct Word {
         Instant comes_at;
         Address from;
-        Serving::Reach::Said said;
+        Serving::Reachability::Said said;
     };
     struct Machine {
         Address address;
         FailureDomainId domain;
         double weight { 1 };
         std::optional<Serving::RetryBudget> budget;
-        std::optional<Serving::Reach> reach;
+        std::optional<Serving::Reachability> reach;
         std::optional<Instant> reads_directory_at;
         Instant next_talk {};
         std::vector<Word> words;
--- a/Tests/Fleet/TestColdServers.cpp
+++ b/Tests/Fleet/TestColdServers.cpp
@@ -132,14 +132,14 @@
     struct Machine {
         Address address;
         FailureDomainId domain;
-        std::unique_ptr<Reach> reach;
+        std::unique_ptr<Reachability> reach;
         std::unique_ptr<ServerLimits> server_limits;
         BackendTable table;
     };
 
     void begin(Machine& host)
     {
-        host.reach = std::make_unique<Reach>(host.domain);
+        host.reach = std::make_unique<Reachability>(host.domain);
         host.server_limits = std::make_unique<ServerLimits>(*host.reach, host.address);
         host.server_limits->configure(this->routing);
         host.table = {};
@@ -272,7 +272,7 @@
 
 SCENARIO("a server that is warm, or of a service without a bound, is not held back")
 {
-    Reach reach(FailureDomainId("hall-a"));
+    Reachability reach(FailureDomainId("hall-a"));
     ServerLimits server_limits(reach, Address("10.0.0.1:1"));
     Configuration configuration;
     Service bounded;
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <LibServing/PeerUse.h>
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -125,7 +125,7 @@
 
 SCENARIO("a host tells a partition by who is silent")
 {
-    Reach reach(FailureDomainId("hall-a"));
+    Reachability reach(FailureDomainId("hall-a"));
     Instant now { 100s };
     CHECK_FALSE(reach.is_cut_off(now));
     reach.heard(Address("10.0.0.1:1"), { FailureDomainId("hall-a"), 400ms }, now);
@@ -166,9 +166,9 @@
     THEN("one host alone looks after each engine, and another one does when it is silent")
     {
         FailureDomainId const unheard("hall-c");
-        Reach other(FailureDomainId("hall-b"));
+        Reachability other(FailureDomainId("hall-b"));
         other.heard(Address("10.0.0.9:1"), { FailureDomainId("hall-a"), 400ms }, now);
-        Reach mine(FailureDomainId("hall-a"));
+        Reachability mine(FailureDomainId("hall-a"));
         mine.heard(Address("10.0.0.8:1"), { FailureDomainId("hall-b"), 400ms }, now);
         for (int i = 0; i < 20; ++i) {
             auto engine = "engine-" + std::to_string(i);
@@ -194,7 +194,7 @@
         std::set<int> readers;
         first_readers = 0;
         for (int own = 0; own < count; ++own) {
-            Reach reach(FailureDomainId("hall-a"));
+            Reachability reach(FailureDomainId("hall-a"));
             for (int other = 0; other < count; ++other) {
                 if (other != own)
                     reach.heard(address(other), { FailureDomainId("hall-a"), 400ms, turned_away.contains(other) }, now);
@@ -220,7 +220,7 @@
     }
     THEN("changes are told to a reader of each other domain")
     {
-        Reach reach(FailureDomainId("hall-a"));
+        Reachability reach(FailureDomainId("hall-a"));
         reach.heard(address(1), { FailureDomainId("hall-b"), 400ms }, now);
         reach.heard(address(2), { FailureDomainId("hall-b"), 400ms }, now);
         reach.heard(address(3), { FailureDomainId("hall-c"), 400ms, true }, now);
@@ -238,7 +238,7 @@
     auto speakers_among = [&](std::set<int> const& silent, std::set<int> const& turned_away) {
         std::set<int> speakers;
         for (int own = 0; own < count; ++own) {
-            Reach reach(FailureDomainId("hall-a"));
+            Reachability reach(FailureDomainId("hall-a"));
             if (turned_away.contains(own))
                 reach.platform_is_lost();
             for (int other = 0; other < count; ++other) {
@@ -251,18 +251,18 @@
         return speakers;
     };
     auto const all = speakers_among({}, {});
-    CHECK(all.size() == Reach::speakers_of_domain);
+    CHECK(all.size() == Reachability::speakers_of_domain);
     WHEN("one of them is silent")
     {
         std::set<int> const silent { *all.begin() };
         auto after = speakers_among(silent, {});
-        CHECK(after.size() == Reach::speakers_of_domain);
+        CHECK(after.size() == Reachability::speakers_of_domain);
         CHECK_FALSE(after.contains(*all.begin()));
     }
     WHEN("the platform turns both away")
     {
         auto after = speakers_among({}, all);
-        CHECK(after.size() == Reach::speakers_of_domain);
+        CHECK(after.size() == Reachability::speakers_of_domain);
         CHECK_FALSE(after.contains(*all.begin()));
         CHECK_FALSE(after.contains(*all.rbegin()));
     }
@@ -287,7 +287,7 @@
         std::vector<std::string> found;
         for (auto const& domain : domains) {
             for (int own = 0; own < hosts; ++own) {
-                Reach reach { FailureDomainId(domain) };
+                Reachability reach { FailureDomainId(domain) };
                 if (domain == turned_away)
                     reach.platform_is_lost();
                 for (auto const& other : domains) {
@@ -321,7 +321,7 @@
 
 SCENARIO("another domain is told through the host last heard of it, and through any where none is heard")
 {
-    Reach reach(FailureDomainId("hall-a"));
+    Reachability reach(FailureDomainId("hall-a"));
     Instant const now { 100s };
     constexpr int count = 59;
     auto address = [](int host) { return Address("10.0.0." + std::to_string(host) + ":1"); };
@@ -334,7 +334,7 @@
         std::set<Address> tried;
         for (u64 draw = 0; draw < 400; ++draw) {
             auto receivers = reach.receivers_elsewhere(draw, now);
-            CHECK(receivers.size() == Reach::tried_in_silent_domain);
+            CHECK(receivers.size() == Reachability::tried_in_silent_domain);
             tried.insert(receivers.begin(), receivers.end());
         }
         CHECK(tried.size() == count);
@@ -351,14 +351,14 @@
         }
         AND_WHEN("it has been silent for long")
         {
-            CHECK(reach.receivers_elsewhere(1, now + 3s).size() == Reach::tried_in_silent_domain);
+            CHECK(reach.receivers_elsewhere(1, now + 3s).size() == Reachability::tried_in_silent_domain);
         }
     }
 }
 
 SCENARIO("a host counts all that may be serving, also those that it does not hear")
 {
-    Reach reach(FailureDomainId("hall-a"));
+    Reachability reach(FailureDomainId("hall-a"));
     Instant now { 100s };
     auto host = [](std::string const& domain, int number) {
         return KnownHost { Address(domain + ':' + std::to_string(number)), FailureDomainId(domain) };
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -6,7 +6,7 @@
 
 #include <LibServing/Admission.h>
 #include <LibServing/PeerUse.h>
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <benchmark/benchmark.h>
 
 /// What an entry host computes by itself again and again, by the number of hosts and engines of the whole system, which
@@ -27,9 +27,9 @@
 }
 
 /// Host 0 of the first domain, which hears all of its own domain and two hosts of each other one.
-Reach reach_of_host(i64 hosts)
+Reachability reach_of_host(i64 hosts)
 {
-    Reach reach(domain_of(0));
+    Reachability reach(domain_of(0));
     for (i64 host = 1; host < hosts; ++host) {
         KnownHost const known { address_of(host), domain_of(host) };
         reach.learn(std::span(&known, 1), now);
