--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -20,7 +20,7 @@
 #include <LibServing/PlannedStop.h>
 #include <LibServing/QuarantineTable.h>
 #include <LibServing/RequestHandler.h>
-#include <LibServing/ServiceReach.h>
+#include <LibServing/ServiceReachability.h>
 #include <boost/asio/signal_set.hpp>
 
 namespace Serving {
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -219,7 +219,7 @@
     Libraries/LibServing/Reachability.cpp "host.said.domain < this->own_domain && !is_silent" "false && !is_silent"
 guard "a service is out of reach by two signs" TestLibServing \
     "Scenario: a domain that has no server of a service is cut off from those that have" \
-    Libraries/LibServing/ServiceReach.cpp "return is_silent && " "return "
+    Libraries/LibServing/ServiceReachability.cpp "return is_silent && " "return "
 
 guard "completions: none for an object that is gone" TestLibCore \
     "Scenario: a completion that is due does not run once its object is gone" \
--- a/Tests/LibServing/TestEvacuations.cpp
+++ b/Tests/LibServing/TestEvacuations.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <LibServing/Evacuations.h>
-#include <LibServing/ServiceReach.h>
+#include <LibServing/ServiceReachability.h>
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
 
--- a/Tests/LibServing/TestServiceReach.cpp
+++ b/Tests/LibServing/TestServiceReachability.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/ServiceReach.h>
+#include <LibServing/ServiceReachability.h>
 #include <catch2/catch.hpp>
 
 using namespace Serving;
