--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -348,7 +348,7 @@
         if (!this->context.routing)
             return;
         auto unreachable
-            = services_out_of_reach(this->context.backends, *this->context.routing, this->silent_domains, now);
+            = unreachable_services(this->context.backends, *this->context.routing, this->silent_domains, now);
         if (unreachable == this->out_of_reach)
             return;
         this->out_of_reach = std::move(unreachable);
--- a/Libraries/LibServing/ServiceReachability.cpp
+++ b/Libraries/LibServing/ServiceReachability.cpp
@@ -20,7 +20,7 @@
     return is_silent && backend.health.unreachable_at && now - *backend.health.unreachable_at < failed_connection_holds;
 }
 
-std::vector<ServiceName> services_out_of_reach(BackendTable const& backends, RoutingTable const& routing,
+std::vector<ServiceName> unreachable_services(BackendTable const& backends, RoutingTable const& routing,
     std::span<FailureDomainId const> silent_domains, Instant now)
 {
     if (silent_domains.empty())
--- a/Libraries/LibServing/ServiceReachability.h
+++ b/Libraries/LibServing/ServiceReachability.h
@@ -18,7 +18,7 @@
 ///
 /// Either sign alone is not enough: a host that hears no other may still reach all servers, and one server that takes
 /// no connections is most likely down.
-std::vector<ServiceName> services_out_of_reach(
+std::vector<ServiceName> unreachable_services(
     BackendTable const&, RoutingTable const&, std::span<FailureDomainId const> silent_domains, Instant now);
 
 }
--- a/Tests/LibServing/TestEvacuations.cpp
+++ b/Tests/LibServing/TestEvacuations.cpp
@@ -211,7 +211,7 @@
     std::vector<FailureDomainId> const silent { hall_b };
     auto unreachable = host.context.backends.find(EngineId("b1"));
     unreachable->health.unreachable_at = host.now;
-    auto unreachable_services = [&] { return services_out_of_reach(host.context.backends, routing, silent, host.now); };
+    auto unreachable_services = [&] { return unreachable_services(host.context.backends, routing, silent, host.now); };
     CHECK(unreachable_services().empty());
     WHEN("its own domain is evacuated and the other one is partitioned")
     {
--- a/Tests/LibServing/TestServiceReachability.cpp
+++ b/Tests/LibServing/TestServiceReachability.cpp
@@ -33,7 +33,7 @@
     auto first = add_server(table, "lookup-1", "lookups", "hall-b");
     auto second = add_server(table, "lookup-2", "lookups", "hall-c");
     std::vector const silent { FailureDomainId("hall-b"), FailureDomainId("hall-c") };
-    auto out_of_reach = [&](Instant when) { return services_out_of_reach(table, routing, silent, when); };
+    auto out_of_reach = [&](Instant when) { return unreachable_services(table, routing, silent, when); };
 
     CHECK(out_of_reach(now).empty());
     record_failure(*first, now, true);
@@ -45,8 +45,8 @@
     {
         THEN("it is the servers that are down, and other hosts would do no better")
         {
-            CHECK(services_out_of_reach(table, routing, {}, now).empty());
-            CHECK(services_out_of_reach(table, routing, std::span(silent).first(1), now).empty());
+            CHECK(unreachable_services(table, routing, {}, now).empty());
+            CHECK(unreachable_services(table, routing, std::span(silent).first(1), now).empty());
         }
     }
     WHEN("a server answers again")
@@ -72,6 +72,6 @@
     WHEN("the service is not configured any more")
     {
         configuration.services.erase(configuration.services.begin());
-        CHECK(services_out_of_reach(table, RoutingTable(configuration), silent, now).empty());
+        CHECK(unreachable_services(table, RoutingTable(configuration), silent, now).empty());
     }
 }
