--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -235,13 +235,13 @@
 void PeerLink::schedule_digest()
 {
     this->context.remote_estimate_age = this->domain_change_delay();
-    auto const place = std::min(this->own_place_among_speakers(), Reachability::speakers_of_domain - 1);
+    auto const place = std::min(this->own_place_among_speakers(), Reachability::representatives_per_domain - 1);
     auto const period = static_cast<i64>(1 + place) * digest_period;
     this->digest_timer.expires_after(period);
     this->digest_timer.async_wait(this->guard.wrap([this, period](boost::system::error_code error) {
         if (error)
             return;
-        if (this->own_place_among_speakers() < Reachability::speakers_of_domain) {
+        if (this->own_place_among_speakers() < Reachability::representatives_per_domain) {
             auto message = this->told_elsewhere.whole(this->context.backends);
             this->complete_whole(message, period);
             put_recent_rate_limits(message, this->context, LimitScope::All);
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -31,7 +31,7 @@
 
     /// Hosts of a domain that tell other domains what its hosts have running: a second one is there for when the first
     /// one falls silent, so that the domain is not taken to be cut off.
-    static constexpr size_t speakers_of_domain = 2;
+    static constexpr size_t representatives_per_domain = 2;
     /// Hosts of a domain that has not been heard lately to which something is sent at a time, in the hope that one
     /// lives.
     static constexpr size_t tried_in_silent_domain = 2;
@@ -67,7 +67,7 @@
     [[nodiscard]] size_t speakers_before(Address const& own_address, Instant now) const;
     [[nodiscard]] bool is_speaker(Address const& own_address, Instant now) const
     {
-        return this->speakers_before(own_address, now) < speakers_of_domain;
+        return this->speakers_before(own_address, now) < representatives_per_domain;
     }
     /// Whether this host is the one of all domains that are heard which is to know changes of the platform first; it
     /// tells the others.
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -153,7 +153,7 @@
                     && host.context.reach.is_heard(other.address(), host.context.now());
             });
             // Two other domains, and two hosts of each.
-            CHECK(heard_elsewhere <= 2 * static_cast<i64>(Reachability::speakers_of_domain));
+            CHECK(heard_elsewhere <= 2 * static_cast<i64>(Reachability::representatives_per_domain));
         }
     }
     WHEN("a host has missed changes of the platform")
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -251,18 +251,18 @@
         return speakers;
     };
     auto const all = speakers_among({}, {});
-    CHECK(all.size() == Reachability::speakers_of_domain);
+    CHECK(all.size() == Reachability::representatives_per_domain);
     WHEN("one of them is silent")
     {
         std::set<int> const silent { *all.begin() };
         auto after = speakers_among(silent, {});
-        CHECK(after.size() == Reachability::speakers_of_domain);
+        CHECK(after.size() == Reachability::representatives_per_domain);
         CHECK_FALSE(after.contains(*all.begin()));
     }
     WHEN("the platform turns both away")
     {
         auto after = speakers_among({}, all);
-        CHECK(after.size() == Reachability::speakers_of_domain);
+        CHECK(after.size() == Reachability::representatives_per_domain);
         CHECK_FALSE(after.contains(*all.begin()));
         CHECK_FALSE(after.contains(*all.rbegin()));
     }
