--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -239,7 +239,7 @@
     }
     if (latest)
         return { receiver };
-    auto const count = std::min(drawn.size(), tried_in_silent_domain);
+    auto const count = std::min(drawn.size(), probes_per_silent_domain);
     std::ranges::partial_sort(drawn, drawn.begin() + static_cast<std::ptrdiff_t>(count));
     std::vector<Address> tried;
     tried.reserve(count);
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -34,7 +34,7 @@
     static constexpr size_t representatives_per_domain = 2;
     /// Hosts of a domain that has not been heard lately to which something is sent at a time, in the hope that one
     /// lives.
-    static constexpr size_t tried_in_silent_domain = 2;
+    static constexpr size_t probes_per_silent_domain = 2;
 
     /// What a host says of itself in a whole message.
     struct Said {
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -334,7 +334,7 @@
         std::set<Address> tried;
         for (u64 draw = 0; draw < 400; ++draw) {
             auto receivers = reach.receivers_elsewhere(draw, now);
-            CHECK(receivers.size() == Reachability::tried_in_silent_domain);
+            CHECK(receivers.size() == Reachability::probes_per_silent_domain);
             tried.insert(receivers.begin(), receivers.end());
         }
         CHECK(tried.size() == count);
@@ -351,7 +351,7 @@
         }
         AND_WHEN("it has been silent for long")
         {
-            CHECK(reach.receivers_elsewhere(1, now + 3s).size() == Reachability::tried_in_silent_domain);
+            CHECK(reach.receivers_elsewhere(1, now + 3s).size() == Reachability::probes_per_silent_domain);
         }
     }
 }
