--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -367,7 +367,7 @@
 }
 
 /// What the sender of a whole message says of itself.
-static Reachability::Said said_in(wire::HostUse const& message)
+static Reachability::HostStatus said_in(wire::HostUse const& message)
 {
     return { FailureDomainId(message.failure_domain()), std::chrono::milliseconds(message.period_milliseconds()),
         message.platform_is_lost(), message.hosts_of_domain() };
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -35,7 +35,7 @@
     return entry->second;
 }
 
-void Reachability::heard(Address const& host, Said const& said, Instant now)
+void Reachability::heard(Address const& host, HostStatus const& said, Instant now)
 {
     auto& entry = this->entry_of(host, now);
     entry.said = said;
@@ -59,7 +59,7 @@
         this->table_read_at = now;
 }
 
-Reachability::Said Reachability::own_word(Duration period, Instant now) const
+Reachability::HostStatus Reachability::own_word(Duration period, Instant now) const
 {
     return { this->own_domain, period, this->platform_lost, this->table_read_at ? this->hosts_of_own_domain(now) : 0 };
 }
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -37,7 +37,7 @@
     static constexpr size_t probes_per_silent_domain = 2;
 
     /// What a host says of itself in a whole message.
-    struct Said {
+    struct HostStatus {
         FailureDomainId domain;
         /// Until its next whole message.
         Duration period { 1s };
@@ -46,12 +46,12 @@
         u32 hosts_of_domain { 0 };
     };
 
-    void heard(Address const& host, Said const& said, Instant now);
+    void heard(Address const& host, HostStatus const& said, Instant now);
     void heard(Address const& host, Instant now);
     /// Takes in the platform's table of the other hosts, as of `now`. Those that it names first have not been heard.
     void learn(std::span<KnownHost const>, Instant now);
     /// What this host says of itself. `period`: until it says so again.
-    [[nodiscard]] Said own_word(Duration period, Instant now) const;
+    [[nodiscard]] HostStatus own_word(Duration period, Instant now) const;
     void platform_is_lost() { this->platform_lost = true; }
     void platform_answers() { this->platform_lost = false; }
     [[nodiscard]] bool platform_lost_here() const { return this->platform_lost; }
@@ -120,7 +120,7 @@
     static constexpr size_t large_domain = 4;
 
     struct Host {
-        Said said;
+        HostStatus said;
         Instant heard_at {};
         /// When it was first known.
         Instant known_since {};
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -108,7 +108,7 @@
     struct Word {
         Instant comes_at;
         Address from;
-        Serving::Reachability::Said said;
+        Serving::Reachability::HostStatus said;
     };
     struct Machine {
         Address address;
