--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -79,11 +79,11 @@
     };
     std::map<FailureDomainId, Count> counts;
     for (auto const& [address, host] : this->hosts) {
-        if (host.said.domain == this->own_domain || !may_serve(host, now))
+        if (host.status.domain == this->own_domain || !may_serve(host, now))
             continue;
-        auto& count = counts[host.said.domain];
+        auto& count = counts[host.status.domain];
         ++count.known;
-        count.told = std::max(count.told, host.said.hosts_of_domain);
+        count.told = std::max(count.told, host.status.hosts_of_domain);
     }
     std::map<FailureDomainId, u32> hosts_by_domain;
     for (auto const& [domain, count] : counts)
@@ -106,7 +106,8 @@
     auto const own_rank = rank(own_address, subject_hash);
     return static_cast<u32>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
         auto const& host = entry.second;
-        return host.said.domain == this->own_domain && may_serve(host, now) && rank(host.hash, subject_hash) > own_rank;
+        return host.status.domain == this->own_domain && may_serve(host, now)
+            && rank(host.hash, subject_hash) > own_rank;
     }));
 }
 
@@ -153,7 +154,7 @@
 
 bool Reachability::is_able_reader(Host const& host, Instant now) const
 {
-    return host.said.domain == this->own_domain && !is_silent(host, now) && !host.said.platform_is_lost;
+    return host.status.domain == this->own_domain && !is_silent(host, now) && !host.status.platform_is_lost;
 }
 
 size_t Reachability::able_readers(Instant now) const
@@ -177,8 +178,8 @@
     auto const own = std::pair(!this->platform_lost, rank(own_address, duty));
     return static_cast<size_t>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
         auto const& host = entry.second;
-        return host.said.domain == this->own_domain && !is_silent(host, now)
-            && std::pair(!host.said.platform_is_lost, rank(host.hash, duty)) > own;
+        return host.status.domain == this->own_domain && !is_silent(host, now)
+            && std::pair(!host.status.platform_is_lost, rank(host.hash, duty)) > own;
     }));
 }
 
@@ -193,7 +194,7 @@
         return false;
     return std::ranges::none_of(this->hosts, [&](auto const& entry) {
         auto const& host = entry.second;
-        return host.said.domain < this->own_domain && !is_silent(host, now) && !host.said.platform_is_lost;
+        return host.status.domain < this->own_domain && !is_silent(host, now) && !host.status.platform_is_lost;
     });
 }
 
@@ -213,8 +214,8 @@
 {
     std::set<FailureDomainId> domains;
     for (auto const& [address, host] : this->hosts) {
-        if (host.said.domain != this->own_domain)
-            domains.insert(host.said.domain);
+        if (host.status.domain != this->own_domain)
+            domains.insert(host.status.domain);
     }
     return { domains.begin(), domains.end() };
 }
@@ -225,12 +226,12 @@
     Address receiver;
     std::vector<std::pair<u64, Address>> drawn;
     for (auto const& [address, host] : this->hosts) {
-        if (host.said.domain != domain)
+        if (host.status.domain != domain)
             continue;
         drawn.emplace_back(rank(host.hash, draw), address);
         // One that the platform does not answer cannot tell its domain what it has missed.
         bool const is_better = !latest
-            || std::pair(!host.said.platform_is_lost, host.heard_at)
+            || std::pair(!host.status.platform_is_lost, host.heard_at)
                 > std::pair(!latest->said.platform_is_lost, latest->heard_at);
         if (is_silent(host, now) || !is_better)
             continue;
@@ -273,7 +274,7 @@
 {
     Instant heard_at {};
     for (auto const& [address, host] : this->hosts) {
-        if (host.said.domain == domain)
+        if (host.status.domain == domain)
             heard_at = std::max(heard_at, host.heard_at);
     }
     return heard_at == Instant {} ? Duration::max() : now - heard_at;
@@ -311,11 +312,11 @@
     };
     std::map<FailureDomainId, Domain> domains;
     for (auto const& [address, host] : this->hosts) {
-        if (is_forgotten(host, now) || host.said.domain == this->own_domain)
+        if (is_forgotten(host, now) || host.status.domain == this->own_domain)
             continue;
-        auto& domain = domains[host.said.domain];
+        auto& domain = domains[host.status.domain];
         domain.heard_at = std::max(domain.heard_at, host.heard_at);
-        domain.period = std::max(domain.period, host.said.period);
+        domain.period = std::max(domain.period, host.status.period);
         ++domain.hosts;
     }
     std::vector<FailureDomainId> silent;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -129,7 +129,7 @@
     };
     [[nodiscard]] static bool is_silent(Host const& host, Instant now)
     {
-        return now - host.heard_at > tolerated_missing_messages * host.said.period + tolerated_lateness;
+        return now - host.heard_at > tolerated_missing_messages * host.status.period + tolerated_lateness;
     }
     [[nodiscard]] static bool is_forgotten(Host const& host, Instant now)
     {
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -216,7 +216,7 @@
     "Scenario: changes that others know are awaited from them for a while" \
     Libraries/LibPlatform/ChangeFollower.h "this->timing.peer_update_timeout <= 0s" "true"
 guard "one host reads promptly for all" TestLibServing "Scenario: one host of all domains reads changes promptly for all" \
-    Libraries/LibServing/Reachability.cpp "host.said.domain < this->own_domain && !is_silent" "false && !is_silent"
+    Libraries/LibServing/Reachability.cpp "host.status.domain < this->own_domain && !is_silent" "false && !is_silent"
 guard "a service is out of reach by two signs" TestLibServing \
     "Scenario: a domain that has no server of a service is cut off from those that have" \
     Libraries/LibServing/ServiceReachability.cpp "return is_silent && " "return "
