--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -35,10 +35,10 @@
     return entry->second;
 }
 
-void Reachability::heard(Address const& host, HostStatus const& said, Instant now)
+void Reachability::heard(Address const& host, HostStatus const& status, Instant now)
 {
     auto& entry = this->entry_of(host, now);
-    entry.said = said;
+    entry.status = status;
     entry.heard_at = now;
 }
 
@@ -53,7 +53,7 @@
 {
     for (auto const& host : known) {
         if (!this->hosts.contains(host.address))
-            this->entry_of(host.address, now).said.domain = host.domain;
+            this->entry_of(host.address, now).status.domain = host.domain;
     }
     if (!this->table_read_at)
         this->table_read_at = now;
@@ -67,7 +67,7 @@
 u32 Reachability::hosts_of_own_domain(Instant now) const
 {
     return 1 + static_cast<u32>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
-        return entry.second.said.domain == this->own_domain && may_serve(entry.second, now);
+        return entry.second.status.domain == this->own_domain && may_serve(entry.second, now);
     }));
 }
 
@@ -143,7 +143,7 @@
 bool Reachability::is_near(Address const& host) const
 {
     auto known = this->hosts.find(host);
-    return known != this->hosts.end() && known->second.said.domain == this->own_domain;
+    return known != this->hosts.end() && known->second.status.domain == this->own_domain;
 }
 
 bool Reachability::is_heard(Address const& host, Instant now) const
@@ -204,7 +204,7 @@
     if (this->platform_lost)
         return true;
     bool const has_other_domains = std::ranges::any_of(this->hosts, [&](auto const& entry) {
-        return entry.second.said.domain != this->own_domain && !is_silent(entry.second, now);
+        return entry.second.status.domain != this->own_domain && !is_silent(entry.second, now);
     });
     bool const needs_one = has_other_domains && this->able_readers(now) + 1 < large_domain;
     return this->able_readers_before(own_address, now) < (needs_one ? 1 : readers_of_large_domain);
@@ -232,7 +232,7 @@
         // One that the platform does not answer cannot tell its domain what it has missed.
         bool const is_better = !latest
             || std::pair(!host.status.platform_is_lost, host.heard_at)
-                > std::pair(!latest->said.platform_is_lost, latest->heard_at);
+                > std::pair(!latest->status.platform_is_lost, latest->heard_at);
         if (is_silent(host, now) || !is_better)
             continue;
         latest = &host;
@@ -260,13 +260,13 @@
 size_t Reachability::far_hosts() const
 {
     return static_cast<size_t>(std::ranges::count_if(
-        this->hosts, [&](auto const& entry) { return entry.second.said.domain != this->own_domain; }));
+        this->hosts, [&](auto const& entry) { return entry.second.status.domain != this->own_domain; }));
 }
 
 size_t Reachability::hosts_heard_near(Instant now) const
 {
     return static_cast<size_t>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
-        return entry.second.said.domain == this->own_domain && !is_silent(entry.second, now);
+        return entry.second.status.domain == this->own_domain && !is_silent(entry.second, now);
     }));
 }
 
@@ -299,7 +299,7 @@
     };
     auto const own = precedence(this->own_domain, hash_of(own_address.value()));
     return std::ranges::none_of(this->hosts, [&](auto const& entry) {
-        return !is_silent(entry.second, now) && precedence(entry.second.said.domain, entry.second.hash) > own;
+        return !is_silent(entry.second, now) && precedence(entry.second.status.domain, entry.second.hash) > own;
     });
 }
 
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -46,7 +46,7 @@
         u32 hosts_of_domain { 0 };
     };
 
-    void heard(Address const& host, HostStatus const& said, Instant now);
+    void heard(Address const& host, HostStatus const& status, Instant now);
     void heard(Address const& host, Instant now);
     /// Takes in the platform's table of the other hosts, as of `now`. Those that it names first have not been heard.
     void learn(std::span<KnownHost const>, Instant now);
@@ -120,7 +120,7 @@
     static constexpr size_t large_domain = 4;
 
     struct Host {
-        HostStatus said;
+        HostStatus status;
         Instant heard_at {};
         /// When it was first known.
         Instant known_since {};
