--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -362,7 +362,7 @@
     if (!envelope.has_platform_news())
         return;
     auto const& news = envelope.platform_news();
-    this->context.reach.heard(sender, this->context.now());
+    this->context.reach.record_message(sender, this->context.now());
     this->observer.news(news, FailureDomainId(news.failure_domain()) == this->context.settings.failure_domain);
 }
 
@@ -380,11 +380,11 @@
         this->context.log.event(Core::EventNumber::MemberJoined, name).with("address", sender);
     if (message.is_whole()) {
         auto const said = said_in(message);
-        this->context.reach.heard(sender, said, now);
+        this->context.reach.record_message(sender, said, now);
         if (said.domain == this->context.settings.failure_domain)
             this->peers.insert(sender);
     } else {
-        this->context.reach.heard(sender, now);
+        this->context.reach.record_message(sender, now);
     }
     this->use.heard(MemberId(name), message, this->context.backends, now);
     if (message.engines_size() > 0)
@@ -408,13 +408,13 @@
     auto now = this->context.now();
     Address const speaker(message.domain_speaker());
     if (message.is_whole())
-        this->context.reach.heard(speaker, said_in(message), now);
+        this->context.reach.record_message(speaker, said_in(message), now);
     else
-        this->context.reach.heard(speaker, now);
+        this->context.reach.record_message(speaker, now);
     // What comes from the speaker itself is for all hosts of this domain.
     bool const is_relayed = sender != speaker;
     if (is_relayed)
-        this->context.reach.heard(sender, now);
+        this->context.reach.record_message(sender, now);
     this->send_through_relays(message, is_relayed ? addresses_of(message.relay_to()) : this->heard_near());
     this->use.heard(MemberId(domain.value()), message, this->context.backends, now);
     this->heard_leaving(message);
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -165,7 +165,7 @@
             this->read_directory(host);
             for (auto const& word : host.words) {
                 if (word.comes_at <= this->now)
-                    host.reach->heard(word.from, word.said, this->now);
+                    host.reach->record_message(word.from, word.said, this->now);
             }
             std::erase_if(host.words, [&](Word const& word) { return word.comes_at <= this->now; });
             if (this->now >= host.next_talk)
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -128,22 +128,22 @@
     Reachability reach(FailureDomainId("hall-a"));
     Instant now { 100s };
     CHECK_FALSE(reach.is_cut_off(now));
-    reach.heard(Address("10.0.0.1:1"), { FailureDomainId("hall-a"), 400ms }, now);
-    reach.heard(Address("10.0.0.2:1"), { FailureDomainId("hall-b"), 400ms }, now);
-    reach.heard(Address("10.0.0.3:1"), { FailureDomainId("hall-b"), 400ms }, now);
+    reach.record_message(Address("10.0.0.1:1"), { FailureDomainId("hall-a"), 400ms }, now);
+    reach.record_message(Address("10.0.0.2:1"), { FailureDomainId("hall-b"), 400ms }, now);
+    reach.record_message(Address("10.0.0.3:1"), { FailureDomainId("hall-b"), 400ms }, now);
 
     CHECK_FALSE(reach.is_cut_off(now + 900ms));
     WHEN("one host of another domain is silent")
     {
-        reach.heard(Address("10.0.0.1:1"), now + 2s);
-        reach.heard(Address("10.0.0.2:1"), now + 2s);
+        reach.record_message(Address("10.0.0.1:1"), now + 2s);
+        reach.record_message(Address("10.0.0.2:1"), now + 2s);
         CHECK(reach.is_heard(Address("10.0.0.2:1"), now + 2s));
         CHECK_FALSE(reach.is_heard(Address("10.0.0.3:1"), now + 2s));
         CHECK(reach.silent_domains(now + 2s).empty());
     }
     WHEN("all hosts of another domain are silent")
     {
-        reach.heard(Address("10.0.0.1:1"), now + 2s);
+        reach.record_message(Address("10.0.0.1:1"), now + 2s);
         CHECK(reach.silent_domains(now + 2s) == std::vector { FailureDomainId("hall-b") });
         CHECK_FALSE(reach.is_cut_off(now + 2s));
     }
@@ -167,9 +167,9 @@
     {
         FailureDomainId const unheard("hall-c");
         Reachability other(FailureDomainId("hall-b"));
-        other.heard(Address("10.0.0.9:1"), { FailureDomainId("hall-a"), 400ms }, now);
+        other.record_message(Address("10.0.0.9:1"), { FailureDomainId("hall-a"), 400ms }, now);
         Reachability mine(FailureDomainId("hall-a"));
-        mine.heard(Address("10.0.0.8:1"), { FailureDomainId("hall-b"), 400ms }, now);
+        mine.record_message(Address("10.0.0.8:1"), { FailureDomainId("hall-b"), 400ms }, now);
         for (int i = 0; i < 20; ++i) {
             auto engine = "engine-" + std::to_string(i);
             bool const by_me = mine.looks_after(Address("10.0.0.9:1"), engine, unheard, now);
@@ -197,10 +197,11 @@
             Reachability reach(FailureDomainId("hall-a"));
             for (int other = 0; other < count; ++other) {
                 if (other != own)
-                    reach.heard(address(other), { FailureDomainId("hall-a"), 400ms, turned_away.contains(other) }, now);
+                    reach.record_message(
+                        address(other), { FailureDomainId("hall-a"), 400ms, turned_away.contains(other) }, now);
             }
             if (with_other_domain)
-                reach.heard(address(99), { FailureDomainId("hall-b"), 400ms }, now);
+                reach.record_message(address(99), { FailureDomainId("hall-b"), 400ms }, now);
             if (reach.reads_platform(address(own), now))
                 readers.insert(own);
             first_readers += reach.is_first_reader(address(own), now) ? 1 : 0;
@@ -221,9 +222,9 @@
     THEN("changes are told to a reader of each other domain")
     {
         Reachability reach(FailureDomainId("hall-a"));
-        reach.heard(address(1), { FailureDomainId("hall-b"), 400ms }, now);
-        reach.heard(address(2), { FailureDomainId("hall-b"), 400ms }, now);
-        reach.heard(address(3), { FailureDomainId("hall-c"), 400ms, true }, now);
+        reach.record_message(address(1), { FailureDomainId("hall-b"), 400ms }, now);
+        reach.record_message(address(2), { FailureDomainId("hall-b"), 400ms }, now);
+        reach.record_message(address(3), { FailureDomainId("hall-c"), 400ms, true }, now);
         // Of a domain whose only host heard is turned away by the platform that one is told all the same: it tells the
         // others.
         CHECK(reach.receivers_elsewhere(0, now) == std::vector { address(1), address(3) });
@@ -243,7 +244,8 @@
                 reach.platform_is_lost();
             for (int other = 0; other < count; ++other) {
                 if (other != own && !silent.contains(other))
-                    reach.heard(address(other), { FailureDomainId("hall-a"), 400ms, turned_away.contains(other) }, now);
+                    reach.record_message(
+                        address(other), { FailureDomainId("hall-a"), 400ms, turned_away.contains(other) }, now);
             }
             if (!silent.contains(own) && reach.is_speaker(address(own), now))
                 speakers.insert(own);
@@ -295,7 +297,7 @@
                     for (int host = 0; host < (other == domain ? hosts : 2); ++host) {
                         bool const is_heard = (other != domain || host != own) && (other == domain || other != silent);
                         if (is_heard)
-                            reach.heard(
+                            reach.record_message(
                                 address(other, host), { FailureDomainId(other), 400ms, other == turned_away }, now);
                     }
                 }
@@ -341,12 +343,12 @@
     }
     WHEN("one has spoken")
     {
-        reach.heard(address(7), { FailureDomainId("hall-b"), 500ms }, now);
+        reach.record_message(address(7), { FailureDomainId("hall-b"), 500ms }, now);
         CHECK(reach.receivers_elsewhere(1, now + 400ms) == std::vector { address(7) });
         CHECK(reach.domain_age(FailureDomainId("hall-b"), now + 400ms) == 400ms);
         AND_WHEN("another one has spoken since")
         {
-            reach.heard(address(8), { FailureDomainId("hall-b"), 500ms }, now + 300ms);
+            reach.record_message(address(8), { FailureDomainId("hall-b"), 500ms }, now + 300ms);
             CHECK(reach.receivers_elsewhere(1, now + 400ms) == std::vector { address(8) });
         }
         AND_WHEN("it has been silent for long")
@@ -364,7 +366,7 @@
         return KnownHost { Address(domain + ':' + std::to_string(number)), FailureDomainId(domain) };
     };
     auto heard = [&](KnownHost const& known, u32 hosts_of_domain = 0) {
-        reach.heard(known.address, { known.domain, 500ms, false, hosts_of_domain }, now);
+        reach.record_message(known.address, { known.domain, 500ms, false, hosts_of_domain }, now);
     };
     heard(host("hall-a", 1));
     THEN("it counts nothing before it has read the platform's table")
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -34,7 +34,7 @@
         KnownHost const known { address_of(host), domain_of(host) };
         reach.learn(std::span(&known, 1), now);
         if (domain_of(host) == domain_of(0) || host < 2 * domain_count)
-            reach.heard(address_of(host), { domain_of(host), 1s }, now);
+            reach.record_message(address_of(host), { domain_of(host), 1s }, now);
     }
     return reach;
 }
