--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -35,14 +35,14 @@
     return entry->second;
 }
 
-void Reachability::heard(Address const& host, HostStatus const& status, Instant now)
+void Reachability::record_message(Address const& host, HostStatus const& status, Instant now)
 {
     auto& entry = this->entry_of(host, now);
     entry.status = status;
     entry.heard_at = now;
 }
 
-void Reachability::heard(Address const& host, Instant now)
+void Reachability::record_message(Address const& host, Instant now)
 {
     auto known = this->hosts.find(host);
     if (known != this->hosts.end())
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -46,8 +46,8 @@
         u32 hosts_of_domain { 0 };
     };
 
-    void heard(Address const& host, HostStatus const& status, Instant now);
-    void heard(Address const& host, Instant now);
+    void record_message(Address const& host, HostStatus const& status, Instant now);
+    void record_message(Address const& host, Instant now);
     /// Takes in the platform's table of the other hosts, as of `now`. Those that it names first have not been heard.
     void learn(std::span<KnownHost const>, Instant now);
     /// What this host says of itself. `period`: until it says so again.
