--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -73,7 +73,7 @@
 void PeerLink::learn(std::vector<KnownHost> hosts)
 {
     std::erase_if(hosts, [this](KnownHost const& host) { return host.address == this->address(); });
-    this->context.reach.learn(hosts, this->context.now());
+    this->context.reach.update_known_hosts(hosts, this->context.now());
     for (auto const& [address, domain] : hosts) {
         if (domain == this->context.settings.failure_domain && this->peers.insert(address).second)
             this->send_whole(address, true);
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -156,7 +156,7 @@
             if (other.address != host.address)
                 rows.push_back({ other.address, other.domain });
         }
-        host.reach->learn(rows, this->now);
+        host.reach->update_known_hosts(rows, this->now);
     }
 
     void talk()
--- a/Tests/Fleet/TestColdServers.cpp
+++ b/Tests/Fleet/TestColdServers.cpp
@@ -154,7 +154,7 @@
             if (other.address != host.address)
                 known.push_back({ other.address, other.domain });
         }
-        host.reach->learn(known, this->now);
+        host.reach->update_known_hosts(known, this->now);
     }
 
     void talk()
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -180,7 +180,7 @@
             if (other.address != host.address)
                 known.push_back({ other.address, other.domain });
         }
-        host.context->reach.learn(known, this->now);
+        host.context->reach.update_known_hosts(known, this->now);
     }
 
     void tell(Machine const& from, wire::HostUse const& message)
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -330,7 +330,7 @@
     std::vector<KnownHost> rows;
     for (int host = 0; host < count; ++host)
         rows.push_back({ address(host), FailureDomainId("hall-b") });
-    reach.learn(rows, now);
+    reach.update_known_hosts(rows, now);
     THEN("two hosts are tried at a time, and each of them comes in its turn")
     {
         std::set<Address> tried;
@@ -377,7 +377,7 @@
     GIVEN("the table of hosts")
     {
         std::vector const rows { host("hall-a", 1), host("hall-a", 2), host("hall-b", 1), host("hall-b", 2) };
-        reach.learn(rows, now);
+        reach.update_known_hosts(rows, now);
         CHECK(reach.fleet_size(now) == 5U);
         CHECK(reach.own_word(500ms, now).hosts_of_domain == 3);
         WHEN("a host of its domain that the table did not name is heard")
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -32,7 +32,7 @@
     Reachability reach(domain_of(0));
     for (i64 host = 1; host < hosts; ++host) {
         KnownHost const known { address_of(host), domain_of(host) };
-        reach.learn(std::span(&known, 1), now);
+        reach.update_known_hosts(std::span(&known, 1), now);
         if (domain_of(host) == domain_of(0) || host < 2 * domain_count)
             reach.record_message(address_of(host), { domain_of(host), 1s }, now);
     }
