--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -50,7 +50,7 @@
         , directory_store(loop, this->settings.platform.value())
         , directory(loop, this->directory_store, this->settings.host, this->settings.peer_address,
               this->settings.failure_domain,
-              [this](std::vector<KnownHost> hosts) { this->peers.learn(std::move(hosts)); })
+              [this](std::vector<KnownHost> hosts) { this->peers.update_known_hosts(std::move(hosts)); })
         , quarantine_store(loop, this->settings.platform.value())
         , quarantine_table(this->context, this->quarantine_store, this->peers.address())
         , configuration_store(loop, this->settings.platform.value())
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -88,7 +88,7 @@
             for (int i = 0; i < hosts_of_domain; ++i)
                 this->hosts.emplace_back(this->loop, domain + '-' + std::to_string(i), domain);
         for (auto& host : this->hosts)
-            host.link.learn(this->directory());
+            host.link.update_known_hosts(this->directory());
     }
 
     /// The platform's table of hosts.
@@ -208,7 +208,7 @@
     };
     fleet.until_all(all_count(6));
     auto& fresh = fleet.hosts.emplace_back(fleet.loop, "hall-b-new", "hall-b");
-    fresh.link.learn(fleet.directory());
+    fresh.link.update_known_hosts(fleet.directory());
     fleet.until_all(all_count(7));
 }
 
@@ -218,7 +218,7 @@
     fleet.until_heard();
     std::erase_if(fleet.hosts, [](TalkingHost const& host) { return host.domain() == FailureDomainId("hall-b"); });
     auto& fresh = fleet.hosts.emplace_back(fleet.loop, "hall-b-new", "hall-b");
-    fresh.link.learn(fleet.directory());
+    fresh.link.update_known_hosts(fleet.directory());
     fleet.until_heard();
     fresh.place_generation();
     fleet.until_all([](TalkingHost const& host) { return host.believed_generations() == 1; });
