--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -70,7 +70,7 @@
     this->schedule_digest();
 }
 
-void PeerLink::learn(std::vector<KnownHost> hosts)
+void PeerLink::update_known_hosts(std::vector<KnownHost> hosts)
 {
     std::erase_if(hosts, [this](KnownHost const& host) { return host.address == this->address(); });
     this->context.reach.update_known_hosts(hosts, this->context.now());
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -46,7 +46,7 @@
     [[nodiscard]] Address const& address() const { return this->transport.announced_address(); }
 
     /// Takes in the platform's table of hosts, this one among them or not.
-    void learn(std::vector<KnownHost> hosts);
+    void update_known_hosts(std::vector<KnownHost> hosts);
     void backend_appeared(Backend& backend) { this->use.apply_to(backend); }
     /// Tells the others that a backend server is leaving; the platform may not have told them.
     void tell_leaving(Backend const&);
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -49,7 +49,7 @@
         known->second.heard_at = now;
 }
 
-void Reachability::learn(std::span<KnownHost const> known, Instant now)
+void Reachability::update_known_hosts(std::span<KnownHost const> known, Instant now)
 {
     for (auto const& host : known) {
         if (!this->hosts.contains(host.address))
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -49,7 +49,7 @@
     void record_message(Address const& host, HostStatus const& status, Instant now);
     void record_message(Address const& host, Instant now);
     /// Takes in the platform's table of the other hosts, as of `now`. Those that it names first have not been heard.
-    void learn(std::span<KnownHost const>, Instant now);
+    void update_known_hosts(std::span<KnownHost const>, Instant now);
     /// What this host says of itself. `period`: until it says so again.
     [[nodiscard]] HostStatus own_word(Duration period, Instant now) const;
     void platform_is_lost() { this->platform_lost = true; }
