--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -292,7 +292,7 @@
 
 void PeerLink::complete_whole(wire::HostUse& message, Duration period)
 {
-    auto const own = this->context.reach.own_word(period, this->context.now());
+    auto const own = this->context.reach.own_status(period, this->context.now());
     message.set_failure_domain(own.domain.value());
     message.set_period_milliseconds(static_cast<u32>(AK::to_milliseconds(own.period)));
     message.set_platform_is_lost(own.platform_is_lost);
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -59,7 +59,7 @@
         this->table_read_at = now;
 }
 
-Reachability::HostStatus Reachability::own_word(Duration period, Instant now) const
+Reachability::HostStatus Reachability::own_status(Duration period, Instant now) const
 {
     return { this->own_domain, period, this->platform_lost, this->table_read_at ? this->hosts_of_own_domain(now) : 0 };
 }
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -51,7 +51,7 @@
     /// Takes in the platform's table of the other hosts, as of `now`. Those that it names first have not been heard.
     void update_known_hosts(std::span<KnownHost const>, Instant now);
     /// What this host says of itself. `period`: until it says so again.
-    [[nodiscard]] HostStatus own_word(Duration period, Instant now) const;
+    [[nodiscard]] HostStatus own_status(Duration period, Instant now) const;
     void platform_is_lost() { this->platform_lost = true; }
     void platform_answers() { this->platform_lost = false; }
     [[nodiscard]] bool platform_lost_here() const { return this->platform_lost; }
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -178,7 +178,7 @@
     void tell(Machine& host)
     {
         host.next_talk = this->now + talk_period;
-        auto const said = host.reach->own_word(talk_period, this->now);
+        auto const said = host.reach->own_status(talk_period, this->now);
         bool const speaks = host.reach->is_speaker(host.address, this->now);
         for (auto& other : this->hosts) {
             if (hear_each_other(host, other) && (speaks || other.domain == host.domain))
--- a/Tests/Fleet/TestColdServers.cpp
+++ b/Tests/Fleet/TestColdServers.cpp
@@ -164,7 +164,8 @@
         for (auto& host : this->hosts) {
             for (auto const& other : this->hosts) {
                 if (other.domain == host.domain && other.address != host.address)
-                    host.reach->record_message(other.address, other.reach->own_word(talk_period, this->now), this->now);
+                    host.reach->record_message(
+                        other.address, other.reach->own_status(talk_period, this->now), this->now);
             }
         }
     }
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -372,19 +372,19 @@
     THEN("it counts nothing before it has read the platform's table")
     {
         CHECK_FALSE(reach.fleet_size(now).has_value());
-        CHECK(reach.own_word(500ms, now).hosts_of_domain == 0);
+        CHECK(reach.own_status(500ms, now).hosts_of_domain == 0);
     }
     GIVEN("the table of hosts")
     {
         std::vector const rows { host("hall-a", 1), host("hall-a", 2), host("hall-b", 1), host("hall-b", 2) };
         reach.update_known_hosts(rows, now);
         CHECK(reach.fleet_size(now) == 5U);
-        CHECK(reach.own_word(500ms, now).hosts_of_domain == 3);
+        CHECK(reach.own_status(500ms, now).hosts_of_domain == 3);
         WHEN("a host of its domain that the table did not name is heard")
         {
             heard(host("hall-a", 3));
             CHECK(reach.fleet_size(now) == 6U);
-            CHECK(reach.own_word(500ms, now).hosts_of_domain == 4);
+            CHECK(reach.own_status(500ms, now).hosts_of_domain == 4);
         }
         WHEN("another domain says how many hosts it has")
         {
