--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -38,7 +38,7 @@
     {
         forget_expired_terminations(this->context);
         // While the platform is unavailable, other components detect when it responds again.
-        bool const may_call = !this->is_calling && !this->context.reach.platform_lost_here();
+        bool const may_call = !this->is_calling && !this->context.reach.is_platform_unavailable();
         if (!may_call || this->context.now() < this->next_call_at)
             return;
         if (this->needs_read())
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -54,7 +54,7 @@
     [[nodiscard]] HostStatus own_status(Duration period, Instant now) const;
     void platform_is_lost() { this->platform_lost = true; }
     void platform_answers() { this->platform_lost = false; }
-    [[nodiscard]] bool platform_lost_here() const { return this->platform_lost; }
+    [[nodiscard]] bool is_platform_unavailable() const { return this->platform_lost; }
 
     [[nodiscard]] bool is_near(Address const& host) const;
     [[nodiscard]] bool is_heard(Address const& host, Instant now) const;
