--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -174,7 +174,7 @@
     {
         Platform::FollowerObserver observer;
         observer.unavailable = [this, table](Error const& error) {
-            this->context.reach.platform_is_lost();
+            this->context.reach.set_platform_unavailable();
             this->log.event(Core::EventNumber::PlatformUnavailable, table).with("reason", error.message);
         };
         observer.available = [this, table] {
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -158,7 +158,7 @@
     }
     WHEN("the platform does not answer")
     {
-        reach.platform_is_lost();
+        reach.set_platform_unavailable();
         CHECK(reach.is_cut_off(now));
         reach.platform_answers();
         CHECK_FALSE(reach.is_cut_off(now));
@@ -241,7 +241,7 @@
         for (int own = 0; own < count; ++own) {
             Reachability reach(FailureDomainId("hall-a"));
             if (turned_away.contains(own))
-                reach.platform_is_lost();
+                reach.set_platform_unavailable();
             for (int other = 0; other < count; ++other) {
                 if (other != own && !silent.contains(other))
                     reach.record_message(
@@ -291,7 +291,7 @@
             for (int own = 0; own < hosts; ++own) {
                 Reachability reach { FailureDomainId(domain) };
                 if (domain == turned_away)
-                    reach.platform_is_lost();
+                    reach.set_platform_unavailable();
                 for (auto const& other : domains) {
                     // Of other domains only two hosts are heard.
                     for (int host = 0; host < (other == domain ? hosts : 2); ++host) {
--- a/Tests/LibServing/TestQuarantineTable.cpp
+++ b/Tests/LibServing/TestQuarantineTable.cpp
@@ -143,7 +143,7 @@
         THEN("requests to it are rate-limited") { CHECK(store.reads <= 5); }
         WHEN("it is known to be unavailable")
         {
-            host.context.reach.platform_is_lost();
+            host.context.reach.set_platform_unavailable();
             host.hold(request);
             auto const before = store.reads + store.writes;
             host.advance(10s);
