--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -178,7 +178,7 @@
             this->log.event(Core::EventNumber::PlatformUnavailable, table).with("reason", error.message);
         };
         observer.available = [this, table] {
-            this->context.reach.platform_answers();
+            this->context.reach.set_platform_available();
             this->log.event(Core::EventNumber::PlatformAvailable, table);
         };
         return observer;
@@ -202,7 +202,7 @@
     {
         auto observer = this->make_observer(P::backend_table);
         observer.available = [this] {
-            this->context.reach.platform_answers();
+            this->context.reach.set_platform_available();
             this->log.event(Core::EventNumber::PlatformAvailable, P::backend_table);
             this->backends.handle_platform_recovery(this->settings.list_recovery_time);
         };
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -160,7 +160,7 @@
     {
         reach.set_platform_unavailable();
         CHECK(reach.is_cut_off(now));
-        reach.platform_answers();
+        reach.set_platform_available();
         CHECK_FALSE(reach.is_cut_off(now));
     }
     THEN("one host alone looks after each engine, and another one does when it is silent")
--- a/Tests/LibServing/TestQuarantineTable.cpp
+++ b/Tests/LibServing/TestQuarantineTable.cpp
@@ -151,7 +151,7 @@
             THEN("the table is read and written once it is available again")
             {
                 store.fails = false;
-                host.context.reach.platform_answers();
+                host.context.reach.set_platform_available();
                 host.advance(2s);
                 CHECK(host.context.knows_quarantine);
                 CHECK(store.rows.size() == 1);
