--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -52,7 +52,7 @@
     void update_known_hosts(std::span<KnownHost const>, Instant now);
     /// What this host says of itself. `period`: until it says so again.
     [[nodiscard]] HostStatus own_status(Duration period, Instant now) const;
-    void platform_is_lost() { this->platform_lost = true; }
+    void set_platform_unavailable() { this->platform_lost = true; }
     void platform_answers() { this->platform_lost = false; }
     [[nodiscard]] bool is_platform_unavailable() const { return this->platform_lost; }
 
