--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -53,7 +53,7 @@
     /// What this host says of itself. `period`: until it says so again.
     [[nodiscard]] HostStatus own_status(Duration period, Instant now) const;
     void set_platform_unavailable() { this->platform_lost = true; }
-    void platform_answers() { this->platform_lost = false; }
+    void set_platform_available() { this->platform_lost = false; }
     [[nodiscard]] bool is_platform_unavailable() const { return this->platform_lost; }
 
     [[nodiscard]] bool is_near(Address const& host) const;
