--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -154,7 +154,7 @@
 
 bool Reachability::is_able_reader(Host const& host, Instant now) const
 {
-    return host.status.domain == this->own_domain && !is_silent(host, now) && !host.status.platform_is_lost;
+    return host.status.domain == this->own_domain && !is_silent(host, now) && !host.status.platform_unavailable;
 }
 
 size_t Reachability::able_readers(Instant now) const
@@ -179,7 +179,7 @@
     return static_cast<size_t>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
         auto const& host = entry.second;
         return host.status.domain == this->own_domain && !is_silent(host, now)
-            && std::pair(!host.status.platform_is_lost, rank(host.hash, duty)) > own;
+            && std::pair(!host.status.platform_unavailable, rank(host.hash, duty)) > own;
     }));
 }
 
@@ -194,7 +194,7 @@
         return false;
     return std::ranges::none_of(this->hosts, [&](auto const& entry) {
         auto const& host = entry.second;
-        return host.status.domain < this->own_domain && !is_silent(host, now) && !host.status.platform_is_lost;
+        return host.status.domain < this->own_domain && !is_silent(host, now) && !host.status.platform_unavailable;
     });
 }
 
@@ -231,8 +231,8 @@
         drawn.emplace_back(rank(host.hash, draw), address);
         // One that the platform does not answer cannot tell its domain what it has missed.
         bool const is_better = !latest
-            || std::pair(!host.status.platform_is_lost, host.heard_at)
-                > std::pair(!latest->status.platform_is_lost, latest->heard_at);
+            || std::pair(!host.status.platform_unavailable, host.heard_at)
+                > std::pair(!latest->status.platform_unavailable, latest->heard_at);
         if (is_silent(host, now) || !is_better)
             continue;
         latest = &host;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -41,7 +41,7 @@
         FailureDomainId domain;
         /// Until its next whole message.
         Duration period { 1s };
-        bool platform_is_lost { false };
+        bool platform_unavailable { false };
         /// Hosts of its domain that may be serving, as far as it knows; 0 while it does not know.
         u32 hosts_of_domain { 0 };
     };
