--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -61,7 +61,8 @@
 
 Reachability::HostStatus Reachability::own_status(Duration period, Instant now) const
 {
-    return { this->own_domain, period, this->platform_lost, this->table_read_at ? this->hosts_of_own_domain(now) : 0 };
+    return { this->own_domain, period, this->platform_unavailable,
+        this->table_read_at ? this->hosts_of_own_domain(now) : 0 };
 }
 
 u32 Reachability::hosts_of_own_domain(Instant now) const
@@ -175,7 +176,7 @@
 size_t Reachability::speakers_before(Address const& own_address, Instant now) const
 {
     auto const duty = hash_of(reading_duty);
-    auto const own = std::pair(!this->platform_lost, rank(own_address, duty));
+    auto const own = std::pair(!this->platform_unavailable, rank(own_address, duty));
     return static_cast<size_t>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
         auto const& host = entry.second;
         return host.status.domain == this->own_domain && !is_silent(host, now)
@@ -190,7 +191,7 @@
 
 bool Reachability::leads_readers(Address const& own_address, Instant now) const
 {
-    if (this->platform_lost || !this->is_first_reader(own_address, now))
+    if (this->platform_unavailable || !this->is_first_reader(own_address, now))
         return false;
     return std::ranges::none_of(this->hosts, [&](auto const& entry) {
         auto const& host = entry.second;
@@ -201,7 +202,7 @@
 bool Reachability::reads_platform(Address const& own_address, Instant now) const
 {
     // A host that the platform does not answer goes on asking, to hear when it is back.
-    if (this->platform_lost)
+    if (this->platform_unavailable)
         return true;
     bool const has_other_domains = std::ranges::any_of(this->hosts, [&](auto const& entry) {
         return entry.second.status.domain != this->own_domain && !is_silent(entry.second, now);
@@ -282,7 +283,7 @@
 
 bool Reachability::is_cut_off(Instant now) const
 {
-    if (this->platform_lost)
+    if (this->platform_unavailable)
         return true;
     bool const knows_hosts
         = std::ranges::any_of(this->hosts, [&](auto const& entry) { return !is_forgotten(entry.second, now); });
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -52,9 +52,9 @@
     void update_known_hosts(std::span<KnownHost const>, Instant now);
     /// What this host says of itself. `period`: until it says so again.
     [[nodiscard]] HostStatus own_status(Duration period, Instant now) const;
-    void set_platform_unavailable() { this->platform_lost = true; }
-    void set_platform_available() { this->platform_lost = false; }
-    [[nodiscard]] bool is_platform_unavailable() const { return this->platform_lost; }
+    void set_platform_unavailable() { this->platform_unavailable = true; }
+    void set_platform_available() { this->platform_unavailable = false; }
+    [[nodiscard]] bool is_platform_unavailable() const { return this->platform_unavailable; }
 
     [[nodiscard]] bool is_near(Address const& host) const;
     [[nodiscard]] bool is_heard(Address const& host, Instant now) const;
@@ -155,7 +155,7 @@
 
     FailureDomainId own_domain;
     std::map<Address, Host> hosts;
-    bool platform_lost { false };
+    bool platform_unavailable { false };
     /// Nothing until the platform's table of hosts has been read.
     std::optional<Instant> table_read_at;
 };
