--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -295,7 +295,7 @@
     auto const own = this->context.reach.own_status(period, this->context.now());
     message.set_failure_domain(own.domain.value());
     message.set_period_milliseconds(static_cast<u32>(AK::to_milliseconds(own.period)));
-    message.set_platform_is_lost(own.platform_is_lost);
+    message.set_platform_is_lost(own.platform_unavailable);
     message.set_hosts_of_domain(own.hosts_of_domain);
     put_recent_request_terminations(message, this->context, this->rounds);
     for (auto const& [table, last_change] : this->observer.own_progress()) {
