--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -69,7 +69,7 @@
     {
         ++this->rounds;
         this->near_count = std::ranges::count_if(
-            this->context.backends.all(), [this](auto const& entry) { return this->is_near(*entry.second); });
+            this->context.backends.all(), [this](auto const& entry) { return this->is_local(*entry.second); });
         bool const is_cut_off = this->context.reach.is_cut_off(this->context.now());
         for (auto const& backend : this->context.backends.running()) {
             if (this->is_engine(*backend) && this->wants_report_of(*backend, is_cut_off))
@@ -85,7 +85,7 @@
             return false;
         if (is_cut_off && backend.engine.own_generations > 0)
             return true;
-        if (is_cut_off && this->rounds % rounds_to_ask_near == 0 && this->is_near(backend))
+        if (is_cut_off && this->rounds % rounds_to_ask_near == 0 && this->is_local(backend))
             return this->draws_idle_engine();
         return backend.engine.generations() > 0 && this->looks_after(backend);
     }
@@ -103,7 +103,7 @@
             own_address, backend.server.id.value(), backend.server.failure_domain, this->context.now());
     }
 
-    [[nodiscard]] bool is_near(Backend const& backend) const
+    [[nodiscard]] bool is_local(Backend const& backend) const
     {
         return backend.server.failure_domain == this->context.settings.failure_domain;
     }
--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -20,7 +20,7 @@
     work.incoming_tokens += sign * use.incoming_tokens;
 }
 
-void PeerUse::add(Backend& backend, Use const& use, bool is_near, int sign)
+void PeerUse::add(Backend& backend, Use const& use, bool is_local, int sign)
 {
     auto& engine = backend.engine;
     engine.peer_generations += static_cast<u32>(sign) * use.generations;
@@ -28,7 +28,7 @@
     engine.peer_unread_tokens += sign * use.unread_tokens;
     engine.peer_uncopied_tokens += sign * use.uncopied_tokens;
     engine.peer_incoming_tokens += sign * use.incoming_tokens;
-    if (is_near)
+    if (is_local)
         add_to(engine.domain_peer_work, use, sign);
 }
 
@@ -37,9 +37,9 @@
     auto& known = host.engines[id];
     if (auto backend = table.find_running(id)) {
         if (backend->matches_start(known.start))
-            add(*backend, known.use, host.is_near, -1);
+            add(*backend, known.use, host.is_local, -1);
         if (backend->matches_start(told.start))
-            add(*backend, told.use, host.is_near, 1);
+            add(*backend, told.use, host.is_local, 1);
     }
     known = told;
     if (told.use == Use {})
@@ -59,7 +59,7 @@
 {
     auto& host = this->hosts[name];
     host.heard_at = now;
-    host.is_near = message.domain_speaker().empty();
+    host.is_local = message.domain_speaker().empty();
     std::set<EngineId> named;
     for (auto const& engine : message.engines()) {
         EngineId const id(engine.engine());
@@ -96,7 +96,7 @@
     for (auto const& [name, host] : this->hosts) {
         auto found = host.engines.find(backend.server.id);
         if (found != host.engines.end() && backend.matches_start(found->second.start))
-            add(backend, found->second.use, host.is_near, 1);
+            add(backend, found->second.use, host.is_local, 1);
     }
 }
 
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -43,13 +43,13 @@
         Instant heard_at {};
         Duration silence_limit { shortest_silence };
         /// One host of this failure domain; else all hosts of another one together.
-        bool is_near { true };
+        bool is_local { true };
         std::map<EngineId, Told> engines;
     };
 
     static void replace(Host&, EngineId const&, Told const&, BackendTable&);
     static void forget_all_but(Host&, std::set<EngineId> const& named, BackendTable&);
-    static void add(Backend&, Use const&, bool is_near, int sign);
+    static void add(Backend&, Use const&, bool is_local, int sign);
 
     std::map<MemberId, Host> hosts;
 };
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -141,7 +141,7 @@
     return now - *this->table_read_at;
 }
 
-bool Reachability::is_near(Address const& host) const
+bool Reachability::is_local(Address const& host) const
 {
     auto known = this->hosts.find(host);
     return known != this->hosts.end() && known->second.status.domain == this->own_domain;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -56,7 +56,7 @@
     void set_platform_available() { this->platform_unavailable = false; }
     [[nodiscard]] bool is_platform_unavailable() const { return this->platform_unavailable; }
 
-    [[nodiscard]] bool is_near(Address const& host) const;
+    [[nodiscard]] bool is_local(Address const& host) const;
     [[nodiscard]] bool is_heard(Address const& host, Instant now) const;
     /// Whether this host reads the platform's tables, or hears of them from another one of its domain that does.
     [[nodiscard]] bool reads_platform(Address const& own_address, Instant now) const;
