--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -152,7 +152,7 @@
     auto now = this->context.now();
     std::vector<Address> heard;
     for (auto const& address : this->peers) {
-        if (this->context.reach.is_heard(address, now))
+        if (this->context.reach.is_reachable(address, now))
             heard.push_back(address);
     }
     return heard;
@@ -255,7 +255,7 @@
 {
     auto now = this->context.now();
     for (auto const& address : this->peers) {
-        if (!this->context.reach.is_heard(address, now))
+        if (!this->context.reach.is_reachable(address, now))
             this->send_whole(address, true);
     }
 }
@@ -376,7 +376,7 @@
 void PeerLink::heard_host(Address const& sender, std::string const& name, wire::HostUse const& message)
 {
     auto now = this->context.now();
-    if (!this->context.reach.is_heard(sender, now))
+    if (!this->context.reach.is_reachable(sender, now))
         this->context.log.event(Core::EventNumber::MemberJoined, name).with("address", sender);
     if (message.is_whole()) {
         auto const said = said_in(message);
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -147,7 +147,7 @@
     return known != this->hosts.end() && known->second.status.domain == this->own_domain;
 }
 
-bool Reachability::is_heard(Address const& host, Instant now) const
+bool Reachability::is_reachable(Address const& host, Instant now) const
 {
     auto known = this->hosts.find(host);
     return known != this->hosts.end() && !is_silent(known->second, now);
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -57,7 +57,7 @@
     [[nodiscard]] bool is_platform_unavailable() const { return this->platform_unavailable; }
 
     [[nodiscard]] bool is_local(Address const& host) const;
-    [[nodiscard]] bool is_heard(Address const& host, Instant now) const;
+    [[nodiscard]] bool is_reachable(Address const& host, Instant now) const;
     /// Whether this host reads the platform's tables, or hears of them from another one of its domain that does.
     [[nodiscard]] bool reads_platform(Address const& own_address, Instant now) const;
     /// Whether this host is the one of its domain that passes on what it reads.
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -118,7 +118,7 @@
             auto now = host.context.now();
             return this->all_of([&](TalkingHost const& other) {
                 return &other == &host
-                    || (other.domain() == host.domain() ? host.context.reach.is_heard(other.address(), now)
+                    || (other.domain() == host.domain() ? host.context.reach.is_reachable(other.address(), now)
                                                         : host.context.reach.domain_age(other.domain(), now) < 1s);
             });
         });
@@ -150,7 +150,7 @@
         for (auto const& host : fleet.hosts) {
             auto heard_elsewhere = std::ranges::count_if(fleet.hosts, [&](TalkingHost const& other) {
                 return other.domain() != host.domain()
-                    && host.context.reach.is_heard(other.address(), host.context.now());
+                    && host.context.reach.is_reachable(other.address(), host.context.now());
             });
             // Two other domains, and two hosts of each.
             CHECK(heard_elsewhere <= 2 * static_cast<i64>(Reachability::representatives_per_domain));
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -137,8 +137,8 @@
     {
         reach.record_message(Address("10.0.0.1:1"), now + 2s);
         reach.record_message(Address("10.0.0.2:1"), now + 2s);
-        CHECK(reach.is_heard(Address("10.0.0.2:1"), now + 2s));
-        CHECK_FALSE(reach.is_heard(Address("10.0.0.3:1"), now + 2s));
+        CHECK(reach.is_reachable(Address("10.0.0.2:1"), now + 2s));
+        CHECK_FALSE(reach.is_reachable(Address("10.0.0.3:1"), now + 2s));
         CHECK(reach.silent_domains(now + 2s).empty());
     }
     WHEN("all hosts of another domain are silent")
@@ -295,8 +295,9 @@
                 for (auto const& other : domains) {
                     // Of other domains only two hosts are heard.
                     for (int host = 0; host < (other == domain ? hosts : 2); ++host) {
-                        bool const is_heard = (other != domain || host != own) && (other == domain || other != silent);
-                        if (is_heard)
+                        bool const is_reachable
+                            = (other != domain || host != own) && (other == domain || other != silent);
+                        if (is_reachable)
                             reach.record_message(
                                 address(other, host), { FailureDomainId(other), 400ms, other == turned_away }, now);
                     }
