--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -254,7 +254,7 @@
         auto const& own = this->peers.address();
         bool const reads = now - this->started_at >= settling_time && reach.reads_platform(own, now);
         auto followed = Platform::Following::None;
-        if (reads && (reach.is_platform_unavailable() || reach.is_first_reader(own, now)))
+        if (reads && (reach.is_platform_unavailable() || reach.is_primary_reader(own, now)))
             followed = reach.leads_readers(own, now) ? Platform::Following::Prompt : Platform::Following::Standby;
         this->configuration_follower.set_following(reads ? Platform::Following::Prompt : Platform::Following::None);
         this->backend_follower.set_following(followed);
--- a/Libraries/LibServing/NewsExchange.h
+++ b/Libraries/LibServing/NewsExchange.h
@@ -41,7 +41,7 @@
         message.set_recovery_left_milliseconds(static_cast<u32>(AK::to_milliseconds(this->backends.recovery_left())));
         put_rows(message, news.page.changes, most_news_bytes);
         this->logs[message.table()].add(message);
-        if (this->context.reach.is_first_reader(this->peers.address(), this->context.now()))
+        if (this->context.reach.is_primary_reader(this->peers.address(), this->context.now()))
             this->peers.pass_on(std::move(message));
     }
 
--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -65,7 +65,7 @@
         if (age < announcement_wait)
             return false;
         return age >= announcement_wait + primary_reader_wait
-            || this->context.reach.is_first_reader(this->own_address, now);
+            || this->context.reach.is_primary_reader(this->own_address, now);
     }
 
     void read_page(std::string const& first_key)
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -184,14 +184,14 @@
     }));
 }
 
-bool Reachability::is_first_reader(Address const& own_address, Instant now) const
+bool Reachability::is_primary_reader(Address const& own_address, Instant now) const
 {
     return this->able_readers_before(own_address, now) == 0;
 }
 
 bool Reachability::leads_readers(Address const& own_address, Instant now) const
 {
-    if (this->platform_unavailable || !this->is_first_reader(own_address, now))
+    if (this->platform_unavailable || !this->is_primary_reader(own_address, now))
         return false;
     return std::ranges::none_of(this->hosts, [&](auto const& entry) {
         auto const& host = entry.second;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -61,7 +61,7 @@
     /// Whether this host reads the platform's tables, or hears of them from another one of its domain that does.
     [[nodiscard]] bool reads_platform(Address const& own_address, Instant now) const;
     /// Whether this host is the one of its domain that passes on what it reads.
-    [[nodiscard]] bool is_first_reader(Address const& own_address, Instant now) const;
+    [[nodiscard]] bool is_primary_reader(Address const& own_address, Instant now) const;
     /// How many hosts of its domain come before this one in speaking for it; those that the platform answers come
     /// first.
     [[nodiscard]] size_t speakers_before(Address const& own_address, Instant now) const;
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -204,7 +204,7 @@
                 reach.record_message(address(99), { FailureDomainId("hall-b"), 400ms }, now);
             if (reach.reads_platform(address(own), now))
                 readers.insert(own);
-            first_readers += reach.is_first_reader(address(own), now) ? 1 : 0;
+            first_readers += reach.is_primary_reader(address(own), now) ? 1 : 0;
         }
         return readers;
     };
