--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -214,7 +214,7 @@
 
 size_t PeerLink::own_place_among_speakers() const
 {
-    return this->context.reach.speakers_before(this->address(), this->context.now());
+    return this->context.reach.representatives_before(this->address(), this->context.now());
 }
 
 void PeerLink::schedule_whole()
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -173,7 +173,7 @@
     }));
 }
 
-size_t Reachability::speakers_before(Address const& own_address, Instant now) const
+size_t Reachability::representatives_before(Address const& own_address, Instant now) const
 {
     auto const duty = hash_of(reading_duty);
     auto const own = std::pair(!this->platform_unavailable, rank(own_address, duty));
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -64,10 +64,10 @@
     [[nodiscard]] bool is_primary_reader(Address const& own_address, Instant now) const;
     /// How many hosts of its domain come before this one in speaking for it; those that the platform answers come
     /// first.
-    [[nodiscard]] size_t speakers_before(Address const& own_address, Instant now) const;
+    [[nodiscard]] size_t representatives_before(Address const& own_address, Instant now) const;
     [[nodiscard]] bool is_speaker(Address const& own_address, Instant now) const
     {
-        return this->speakers_before(own_address, now) < representatives_per_domain;
+        return this->representatives_before(own_address, now) < representatives_per_domain;
     }
     /// Whether this host is the one of all domains that are heard which is to know changes of the platform first; it
     /// tells the others.
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -128,7 +128,7 @@
     {
         return std::ranges::find_if(this->hosts, [&](TalkingHost const& host) {
             return host.domain() == FailureDomainId(domain)
-                && host.context.reach.speakers_before(host.address(), host.context.now()) == 0;
+                && host.context.reach.representatives_before(host.address(), host.context.now()) == 0;
         });
     }
 
