--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -65,7 +65,7 @@
     /// How many hosts of its domain come before this one in speaking for it; those that the platform answers come
     /// first.
     [[nodiscard]] size_t representatives_before(Address const& own_address, Instant now) const;
-    [[nodiscard]] bool is_speaker(Address const& own_address, Instant now) const
+    [[nodiscard]] bool is_representative(Address const& own_address, Instant now) const
     {
         return this->representatives_before(own_address, now) < representatives_per_domain;
     }
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -179,7 +179,7 @@
     {
         host.next_talk = this->now + talk_period;
         auto const said = host.reach->own_status(talk_period, this->now);
-        bool const speaks = host.reach->is_speaker(host.address, this->now);
+        bool const speaks = host.reach->is_representative(host.address, this->now);
         for (auto& other : this->hosts) {
             if (hear_each_other(host, other) && (speaks || other.domain == host.domain))
                 other.words.push_back({ this->now + this->any_time_up_to(longest_delay), host.address, said });
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -247,7 +247,7 @@
                     reach.record_message(
                         address(other), { FailureDomainId("hall-a"), 400ms, turned_away.contains(other) }, now);
             }
-            if (!silent.contains(own) && reach.is_speaker(address(own), now))
+            if (!silent.contains(own) && reach.is_representative(address(own), now))
                 speakers.insert(own);
         }
         return speakers;
