--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -255,7 +255,7 @@
         bool const reads = now - this->started_at >= settling_time && reach.reads_platform(own, now);
         auto followed = Platform::Following::None;
         if (reads && (reach.is_platform_unavailable() || reach.is_primary_reader(own, now)))
-            followed = reach.leads_readers(own, now) ? Platform::Following::Prompt : Platform::Following::Standby;
+            followed = reach.is_leading_reader(own, now) ? Platform::Following::Prompt : Platform::Following::Standby;
         this->configuration_follower.set_following(reads ? Platform::Following::Prompt : Platform::Following::None);
         this->backend_follower.set_following(followed);
     }
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -189,7 +189,7 @@
     return this->able_readers_before(own_address, now) == 0;
 }
 
-bool Reachability::leads_readers(Address const& own_address, Instant now) const
+bool Reachability::is_leading_reader(Address const& own_address, Instant now) const
 {
     if (this->platform_unavailable || !this->is_primary_reader(own_address, now))
         return false;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -71,7 +71,7 @@
     }
     /// Whether this host is the one of all domains that are heard which is to know changes of the platform first; it
     /// tells the others.
-    [[nodiscard]] bool leads_readers(Address const& own_address, Instant now) const;
+    [[nodiscard]] bool is_leading_reader(Address const& own_address, Instant now) const;
     /// For each other domain the host that was last heard to speak for it; some of its hosts, drawn anew by each
     /// `draw`, where none was heard lately.
     [[nodiscard]] std::vector<Address> receivers_elsewhere(u64 draw, Instant now) const;
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -302,7 +302,7 @@
                                 address(other, host), { FailureDomainId(other), 400ms, other == turned_away }, now);
                     }
                 }
-                if (reach.leads_readers(address(domain, own), now))
+                if (reach.is_leading_reader(address(domain, own), now))
                     found.push_back(domain);
             }
         }
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -76,7 +76,7 @@
     auto const own = address_of(0);
     for (auto _ : state) {
         benchmark::DoNotOptimize(reach.reads_platform(own, now));
-        benchmark::DoNotOptimize(reach.leads_readers(own, now));
+        benchmark::DoNotOptimize(reach.is_leading_reader(own, now));
         benchmark::DoNotOptimize(reach.silent_domains(now));
     }
 }
