--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -173,8 +173,7 @@
 {
     news.set_failure_domain(this->context.settings.failure_domain.value());
     this->send_through_relays(news, this->heard_near());
-    this->send(
-        this->context.reach.receivers_elsewhere(++this->messages_elsewhere, this->context.now()), std::move(news));
+    this->send(this->context.reach.remote_receivers(++this->messages_elsewhere, this->context.now()), std::move(news));
 }
 
 void PeerLink::fetch_news(Address const& host, std::string const& table, u64 version)
@@ -320,7 +319,7 @@
     message.set_failure_domain(this->context.settings.failure_domain.value());
     message.set_domain_speaker(this->address().value());
     this->send(
-        this->context.reach.receivers_elsewhere(++this->messages_elsewhere, this->context.now()), std::move(message));
+        this->context.reach.remote_receivers(++this->messages_elsewhere, this->context.now()), std::move(message));
 }
 
 void PeerLink::send_whole(Address const& peer, bool wants_answer)
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -250,7 +250,7 @@
     return tried;
 }
 
-std::vector<Address> Reachability::receivers_elsewhere(u64 draw, Instant now) const
+std::vector<Address> Reachability::remote_receivers(u64 draw, Instant now) const
 {
     std::vector<Address> receivers;
     for (auto const& domain : this->other_domains())
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -74,7 +74,7 @@
     [[nodiscard]] bool is_leading_reader(Address const& own_address, Instant now) const;
     /// For each other domain the host that was last heard to speak for it; some of its hosts, drawn anew by each
     /// `draw`, where none was heard lately.
-    [[nodiscard]] std::vector<Address> receivers_elsewhere(u64 draw, Instant now) const;
+    [[nodiscard]] std::vector<Address> remote_receivers(u64 draw, Instant now) const;
     /// Hosts of other domains that are known, whether they live or not.
     [[nodiscard]] size_t far_hosts() const;
     /// Other hosts of this domain.
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -227,7 +227,7 @@
         reach.record_message(address(3), { FailureDomainId("hall-c"), 400ms, true }, now);
         // Of a domain whose only host heard is turned away by the platform that one is told all the same: it tells the
         // others.
-        CHECK(reach.receivers_elsewhere(0, now) == std::vector { address(1), address(3) });
+        CHECK(reach.remote_receivers(0, now) == std::vector { address(1), address(3) });
     }
 }
 
@@ -336,7 +336,7 @@
     {
         std::set<Address> tried;
         for (u64 draw = 0; draw < 400; ++draw) {
-            auto receivers = reach.receivers_elsewhere(draw, now);
+            auto receivers = reach.remote_receivers(draw, now);
             CHECK(receivers.size() == Reachability::probes_per_silent_domain);
             tried.insert(receivers.begin(), receivers.end());
         }
@@ -345,16 +345,16 @@
     WHEN("one has spoken")
     {
         reach.record_message(address(7), { FailureDomainId("hall-b"), 500ms }, now);
-        CHECK(reach.receivers_elsewhere(1, now + 400ms) == std::vector { address(7) });
+        CHECK(reach.remote_receivers(1, now + 400ms) == std::vector { address(7) });
         CHECK(reach.domain_age(FailureDomainId("hall-b"), now + 400ms) == 400ms);
         AND_WHEN("another one has spoken since")
         {
             reach.record_message(address(8), { FailureDomainId("hall-b"), 500ms }, now + 300ms);
-            CHECK(reach.receivers_elsewhere(1, now + 400ms) == std::vector { address(8) });
+            CHECK(reach.remote_receivers(1, now + 400ms) == std::vector { address(8) });
         }
         AND_WHEN("it has been silent for long")
         {
-            CHECK(reach.receivers_elsewhere(1, now + 3s).size() == Reachability::probes_per_silent_domain);
+            CHECK(reach.remote_receivers(1, now + 3s).size() == Reachability::probes_per_silent_domain);
         }
     }
 }
