--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -207,7 +207,7 @@
 
 Duration PeerLink::domain_change_delay() const
 {
-    auto more = std::max<i64>(0, static_cast<i64>(this->context.reach.far_hosts()) - far_hosts_told_at_once);
+    auto more = std::max<i64>(0, static_cast<i64>(this->context.reach.remote_host_count()) - far_hosts_told_at_once);
     return change_delay + more * change_delay_for_each_more;
 }
 
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -258,7 +258,7 @@
     return receivers;
 }
 
-size_t Reachability::far_hosts() const
+size_t Reachability::remote_host_count() const
 {
     return static_cast<size_t>(std::ranges::count_if(
         this->hosts, [&](auto const& entry) { return entry.second.status.domain != this->own_domain; }));
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -76,7 +76,7 @@
     /// `draw`, where none was heard lately.
     [[nodiscard]] std::vector<Address> remote_receivers(u64 draw, Instant now) const;
     /// Hosts of other domains that are known, whether they live or not.
-    [[nodiscard]] size_t far_hosts() const;
+    [[nodiscard]] size_t remote_host_count() const;
     /// Other hosts of this domain.
     [[nodiscard]] size_t hosts_heard_near(Instant now) const;
     /// All hosts that may be serving, this one included: those that were heard or heard of not long ago, also when they
