--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -264,7 +264,7 @@
         this->hosts, [&](auto const& entry) { return entry.second.status.domain != this->own_domain; }));
 }
 
-size_t Reachability::hosts_heard_near(Instant now) const
+size_t Reachability::reachable_local_hosts(Instant now) const
 {
     return static_cast<size_t>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
         return entry.second.status.domain == this->own_domain && !is_silent(entry.second, now);
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -78,7 +78,7 @@
     /// Hosts of other domains that are known, whether they live or not.
     [[nodiscard]] size_t remote_host_count() const;
     /// Other hosts of this domain.
-    [[nodiscard]] size_t hosts_heard_near(Instant now) const;
+    [[nodiscard]] size_t reachable_local_hosts(Instant now) const;
     /// All hosts that may be serving, this one included: those that were heard or heard of not long ago, also when they
     /// are cut off now. Nothing until the platform's table of hosts has been read.
     [[nodiscard]] std::optional<u32> fleet_size(Instant now) const;
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -238,5 +238,5 @@
     auto const later = left.now() + 1s;
     Test::run_until(fleet.loop, [&] { return left.now() > later; });
     CHECK(fleet.hosts.size() == 1);
-    CHECK(left.reach.hosts_heard_near(left.now()) == 0);
+    CHECK(left.reach.reachable_local_hosts(left.now()) == 0);
 }
