--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -112,7 +112,7 @@
     }));
 }
 
-u32 Reachability::part_of(
+u32 Reachability::share_of(
     u32 whole, Address const& own_address, std::string_view subject, FailureDomainId const& domain, Instant now) const
 {
     if (!this->table_read_at)
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -89,7 +89,7 @@
     /// the same hosts: each domain has its share by number of hosts, that of the subject also what the division leaves,
     /// and inside a domain the units that are too few for all go to hosts by rendezvous hashing. Nothing until the
     /// platform's table of hosts has been read.
-    [[nodiscard]] u32 part_of(u32 whole, Address const& own_address, std::string_view subject,
+    [[nodiscard]] u32 share_of(u32 whole, Address const& own_address, std::string_view subject,
         FailureDomainId const& domain, Instant now) const;
     /// How long ago a domain was last heard; the longest time for one that never was.
     [[nodiscard]] Duration domain_age(FailureDomainId const& domain, Instant now) const;
--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -64,7 +64,7 @@
     auto& share = this->shares[{ server.id, server.start, bound.reason }];
     if (share.total != bound.requests) {
         auto const subject = server.id.value() + '/' + std::to_string(server.start.value());
-        auto const units = this->reach.part_of(bound.requests, this->own_address, subject, server.failure_domain, now);
+        auto const units = this->reach.share_of(bound.requests, this->own_address, subject, server.failure_domain, now);
         share = { bound.requests, units, now };
     }
     return share.units;
