--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -271,7 +271,7 @@
     }));
 }
 
-Duration Reachability::domain_age(FailureDomainId const& domain, Instant now) const
+Duration Reachability::domain_message_age(FailureDomainId const& domain, Instant now) const
 {
     Instant heard_at {};
     for (auto const& [address, host] : this->hosts) {
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -92,7 +92,7 @@
     [[nodiscard]] u32 share_of(u32 whole, Address const& own_address, std::string_view subject,
         FailureDomainId const& domain, Instant now) const;
     /// How long ago a domain was last heard; the longest time for one that never was.
-    [[nodiscard]] Duration domain_age(FailureDomainId const& domain, Instant now) const;
+    [[nodiscard]] Duration domain_message_age(FailureDomainId const& domain, Instant now) const;
     /// Whether news of backend servers may not come: the platform does not answer, or all other hosts are silent.
     [[nodiscard]] bool is_cut_off(Instant now) const;
     /// Whether this host is the one among those that it hears which looks after `subject`, something that is in
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -118,8 +118,9 @@
             auto now = host.context.now();
             return this->all_of([&](TalkingHost const& other) {
                 return &other == &host
-                    || (other.domain() == host.domain() ? host.context.reach.is_reachable(other.address(), now)
-                                                        : host.context.reach.domain_age(other.domain(), now) < 1s);
+                    || (other.domain() == host.domain()
+                            ? host.context.reach.is_reachable(other.address(), now)
+                            : host.context.reach.domain_message_age(other.domain(), now) < 1s);
             });
         });
     }
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -346,7 +346,7 @@
     {
         reach.record_message(address(7), { FailureDomainId("hall-b"), 500ms }, now);
         CHECK(reach.remote_receivers(1, now + 400ms) == std::vector { address(7) });
-        CHECK(reach.domain_age(FailureDomainId("hall-b"), now + 400ms) == 400ms);
+        CHECK(reach.domain_message_age(FailureDomainId("hall-b"), now + 400ms) == 400ms);
         AND_WHEN("another one has spoken since")
         {
             reach.record_message(address(8), { FailureDomainId("hall-b"), 500ms }, now + 300ms);
