--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -70,22 +70,22 @@
         ++this->rounds;
         this->near_count = std::ranges::count_if(
             this->context.backends.all(), [this](auto const& entry) { return this->is_local(*entry.second); });
-        bool const is_cut_off = this->context.reach.is_cut_off(this->context.now());
+        bool const is_partitioned = this->context.reach.is_partitioned(this->context.now());
         for (auto const& backend : this->context.backends.running()) {
-            if (this->is_engine(*backend) && this->wants_report_of(*backend, is_cut_off))
+            if (this->is_engine(*backend) && this->wants_report_of(*backend, is_partitioned))
                 this->ask(backend);
         }
     }
 
-    [[nodiscard]] bool wants_report_of(Backend const& backend, bool is_cut_off)
+    [[nodiscard]] bool wants_report_of(Backend const& backend, bool is_partitioned)
     {
         if (backend.availability != Availability::Serving)
             return this->wants_end_of(backend);
         if (!backend.takes_work_at(this->context.now()))
             return false;
-        if (is_cut_off && backend.engine.own_generations > 0)
+        if (is_partitioned && backend.engine.own_generations > 0)
             return true;
-        if (is_cut_off && this->rounds % rounds_to_ask_near == 0 && this->is_local(backend))
+        if (is_partitioned && this->rounds % rounds_to_ask_near == 0 && this->is_local(backend))
             return this->draws_idle_engine();
         return backend.engine.generations() > 0 && this->looks_after(backend);
     }
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -137,7 +137,7 @@
         this->avoided_told_since = now;
         this->avoided_told = 0;
     }
-    if (++this->avoided_told > most_avoided_told || this->context.reach.is_cut_off(now))
+    if (++this->avoided_told > most_avoided_told || this->context.reach.is_partitioned(now))
         return;
     wire::HostUse message;
     auto& unreachable = *message.add_unreachable();
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -281,7 +281,7 @@
     return heard_at == Instant {} ? Duration::max() : now - heard_at;
 }
 
-bool Reachability::is_cut_off(Instant now) const
+bool Reachability::is_partitioned(Instant now) const
 {
     if (this->platform_unavailable)
         return true;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -94,7 +94,7 @@
     /// How long ago a domain was last heard; the longest time for one that never was.
     [[nodiscard]] Duration domain_message_age(FailureDomainId const& domain, Instant now) const;
     /// Whether news of backend servers may not come: the platform does not answer, or all other hosts are silent.
-    [[nodiscard]] bool is_cut_off(Instant now) const;
+    [[nodiscard]] bool is_partitioned(Instant now) const;
     /// Whether this host is the one among those that it hears which looks after `subject`, something that is in
     /// `domain`. Hosts of that domain go before all others. Hosts that hear the same others agree on it (rendezvous
     /// hashing).
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -127,12 +127,12 @@
 {
     Reachability reach(FailureDomainId("hall-a"));
     Instant now { 100s };
-    CHECK_FALSE(reach.is_cut_off(now));
+    CHECK_FALSE(reach.is_partitioned(now));
     reach.record_message(Address("10.0.0.1:1"), { FailureDomainId("hall-a"), 400ms }, now);
     reach.record_message(Address("10.0.0.2:1"), { FailureDomainId("hall-b"), 400ms }, now);
     reach.record_message(Address("10.0.0.3:1"), { FailureDomainId("hall-b"), 400ms }, now);
 
-    CHECK_FALSE(reach.is_cut_off(now + 900ms));
+    CHECK_FALSE(reach.is_partitioned(now + 900ms));
     WHEN("one host of another domain is silent")
     {
         reach.record_message(Address("10.0.0.1:1"), now + 2s);
@@ -145,23 +145,23 @@
     {
         reach.record_message(Address("10.0.0.1:1"), now + 2s);
         CHECK(reach.silent_domains(now + 2s) == std::vector { FailureDomainId("hall-b") });
-        CHECK_FALSE(reach.is_cut_off(now + 2s));
+        CHECK_FALSE(reach.is_partitioned(now + 2s));
     }
     WHEN("all are silent")
     {
-        CHECK(reach.is_cut_off(now + 2s));
+        CHECK(reach.is_partitioned(now + 2s));
         THEN("after a long time they are taken to be gone")
         {
-            CHECK_FALSE(reach.is_cut_off(now + 100s));
+            CHECK_FALSE(reach.is_partitioned(now + 100s));
             CHECK(reach.silent_domains(now + 100s).empty());
         }
     }
     WHEN("the platform does not answer")
     {
         reach.set_platform_unavailable();
-        CHECK(reach.is_cut_off(now));
+        CHECK(reach.is_partitioned(now));
         reach.set_platform_available();
-        CHECK_FALSE(reach.is_cut_off(now));
+        CHECK_FALSE(reach.is_partitioned(now));
     }
     THEN("one host alone looks after each engine, and another one does when it is silent")
     {
