--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EngineReporter.h
@@ -87,7 +87,7 @@
             return true;
         if (is_partitioned && this->rounds % rounds_to_ask_near == 0 && this->is_local(backend))
             return this->draws_idle_engine();
-        return backend.engine.generations() > 0 && this->looks_after(backend);
+        return backend.engine.generations() > 0 && this->is_responsible_for(backend);
     }
 
     [[nodiscard]] bool draws_idle_engine()
@@ -96,10 +96,10 @@
         return chance(this->context.random) * static_cast<double>(this->near_count) < idle_asked_in_a_round;
     }
 
-    [[nodiscard]] bool looks_after(Backend const& backend) const
+    [[nodiscard]] bool is_responsible_for(Backend const& backend) const
     {
         auto const& own_address = this->context.settings.peer_address;
-        return this->context.reach.looks_after(
+        return this->context.reach.is_responsible_for(
             own_address, backend.server.id.value(), backend.server.failure_domain, this->context.now());
     }
 
--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -115,7 +115,7 @@
     {
         auto const key = to_text(request);
         auto const& own_domain = this->context.settings.failure_domain;
-        if (!this->context.reach.looks_after(this->own_address, key, own_domain, this->context.now()))
+        if (!this->context.reach.is_responsible_for(this->own_address, key, own_domain, this->context.now()))
             return;
         this->pending_writes[key] = {};
         if (!is_held)
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -291,7 +291,7 @@
         && std::ranges::all_of(this->hosts, [&](auto const& entry) { return is_silent(entry.second, now); });
 }
 
-bool Reachability::looks_after(
+bool Reachability::is_responsible_for(
     Address const& own_address, std::string_view subject, FailureDomainId const& domain, Instant now) const
 {
     auto const subject_hash = hash_of(subject);
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -98,7 +98,7 @@
     /// Whether this host is the one among those that it hears which looks after `subject`, something that is in
     /// `domain`. Hosts of that domain go before all others. Hosts that hear the same others agree on it (rendezvous
     /// hashing).
-    [[nodiscard]] bool looks_after(
+    [[nodiscard]] bool is_responsible_for(
         Address const& own_address, std::string_view subject, FailureDomainId const& domain, Instant now) const;
     /// Other domains all of whose hosts have fallen silent.
     [[nodiscard]] std::vector<FailureDomainId> silent_domains(Instant now) const;
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -172,14 +172,14 @@
         mine.record_message(Address("10.0.0.8:1"), { FailureDomainId("hall-b"), 400ms }, now);
         for (int i = 0; i < 20; ++i) {
             auto engine = "engine-" + std::to_string(i);
-            bool const by_me = mine.looks_after(Address("10.0.0.9:1"), engine, unheard, now);
-            bool const by_other = other.looks_after(Address("10.0.0.8:1"), engine, unheard, now);
+            bool const by_me = mine.is_responsible_for(Address("10.0.0.9:1"), engine, unheard, now);
+            bool const by_other = other.is_responsible_for(Address("10.0.0.8:1"), engine, unheard, now);
             CHECK(by_me != by_other);
-            CHECK(mine.looks_after(Address("10.0.0.9:1"), engine, unheard, now + 5s));
+            CHECK(mine.is_responsible_for(Address("10.0.0.9:1"), engine, unheard, now + 5s));
             AND_THEN("a host of the engine's own domain goes first")
             {
-                CHECK(mine.looks_after(Address("10.0.0.9:1"), engine, FailureDomainId("hall-a"), now));
-                CHECK_FALSE(other.looks_after(Address("10.0.0.8:1"), engine, FailureDomainId("hall-a"), now));
+                CHECK(mine.is_responsible_for(Address("10.0.0.9:1"), engine, FailureDomainId("hall-a"), now));
+                CHECK_FALSE(other.is_responsible_for(Address("10.0.0.8:1"), engine, FailureDomainId("hall-a"), now));
             }
         }
     }
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -64,7 +64,8 @@
     for (auto _ : state) {
         size_t mine = 0;
         for (auto const& backend : table.running())
-            mine += reach.looks_after(own, backend->server.id.value(), backend->server.failure_domain, now) ? 1 : 0;
+            mine += reach.is_responsible_for(own, backend->server.id.value(), backend->server.failure_domain, now) ? 1
+                                                                                                                   : 0;
         benchmark::DoNotOptimize(mine);
     }
 }
