--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -40,7 +40,7 @@
 
 private:
     struct Host {
-        Instant heard_at {};
+        Instant received_at {};
         Duration silence_limit { shortest_silence };
         /// One host of this failure domain; else all hosts of another one together.
         bool is_local { true };
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -39,14 +39,14 @@
 {
     auto& entry = this->entry_of(host, now);
     entry.status = status;
-    entry.heard_at = now;
+    entry.received_at = now;
 }
 
 void Reachability::record_message(Address const& host, Instant now)
 {
     auto known = this->hosts.find(host);
     if (known != this->hosts.end())
-        known->second.heard_at = now;
+        known->second.received_at = now;
 }
 
 void Reachability::update_known_hosts(std::span<KnownHost const> known, Instant now)
@@ -232,8 +232,8 @@
         drawn.emplace_back(rank(host.hash, draw), address);
         // One that the platform does not answer cannot tell its domain what it has missed.
         bool const is_better = !latest
-            || std::pair(!host.status.platform_unavailable, host.heard_at)
-                > std::pair(!latest->status.platform_unavailable, latest->heard_at);
+            || std::pair(!host.status.platform_unavailable, host.received_at)
+                > std::pair(!latest->status.platform_unavailable, latest->received_at);
         if (is_silent(host, now) || !is_better)
             continue;
         latest = &host;
@@ -273,12 +273,12 @@
 
 Duration Reachability::domain_message_age(FailureDomainId const& domain, Instant now) const
 {
-    Instant heard_at {};
+    Instant received_at {};
     for (auto const& [address, host] : this->hosts) {
         if (host.status.domain == domain)
-            heard_at = std::max(heard_at, host.heard_at);
+            received_at = std::max(received_at, host.received_at);
     }
-    return heard_at == Instant {} ? Duration::max() : now - heard_at;
+    return received_at == Instant {} ? Duration::max() : now - received_at;
 }
 
 bool Reachability::is_partitioned(Instant now) const
@@ -307,7 +307,7 @@
 std::vector<FailureDomainId> Reachability::silent_domains(Instant now) const
 {
     struct Domain {
-        Instant heard_at {};
+        Instant received_at {};
         Duration period { 0 };
         int hosts { 0 };
     };
@@ -316,7 +316,7 @@
         if (is_forgotten(host, now) || host.status.domain == this->own_domain)
             continue;
         auto& domain = domains[host.status.domain];
-        domain.heard_at = std::max(domain.heard_at, host.heard_at);
+        domain.received_at = std::max(domain.received_at, host.received_at);
         domain.period = std::max(domain.period, host.status.period);
         ++domain.hosts;
     }
@@ -324,7 +324,7 @@
     for (auto const& [name, domain] : domains) {
         auto limit
             = std::max<Duration>(shortest_domain_silence, tolerated_missing_messages * domain.period / domain.hosts);
-        if (now - domain.heard_at > limit)
+        if (now - domain.received_at > limit)
             silent.push_back(name);
     }
     return silent;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -121,7 +121,7 @@
 
     struct Host {
         HostStatus status;
-        Instant heard_at {};
+        Instant received_at {};
         /// When it was first known.
         Instant known_since {};
         /// Of its address; with that of a subject it gives the host's rank for the subject.
@@ -129,15 +129,15 @@
     };
     [[nodiscard]] static bool is_silent(Host const& host, Instant now)
     {
-        return now - host.heard_at > tolerated_missing_messages * host.status.period + tolerated_lateness;
+        return now - host.received_at > tolerated_missing_messages * host.status.period + tolerated_lateness;
     }
     [[nodiscard]] static bool is_forgotten(Host const& host, Instant now)
     {
-        return host.heard_at == Instant {} || now - host.heard_at > forgotten_after;
+        return host.received_at == Instant {} || now - host.received_at > forgotten_after;
     }
     [[nodiscard]] static bool may_serve(Host const& host, Instant now)
     {
-        return now - std::max(host.heard_at, host.known_since) <= counted_after_silence;
+        return now - std::max(host.received_at, host.known_since) <= counted_after_silence;
     }
     Host& entry_of(Address const& host, Instant now);
     /// With this one.
