--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -102,7 +102,7 @@
     return size;
 }
 
-u32 Reachability::near_hosts_before(Address const& own_address, u64 subject_hash, Instant now) const
+u32 Reachability::local_hosts_before(Address const& own_address, u64 subject_hash, Instant now) const
 {
     auto const own_rank = rank(own_address, subject_hash);
     return static_cast<u32>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
@@ -130,7 +130,7 @@
             of_domain -= std::min(of_domain, share_of(hosts));
     }
     auto const left_over = of_domain % near;
-    bool const has_one_more = left_over > 0 && this->near_hosts_before(own_address, hash_of(subject), now) < left_over;
+    bool const has_one_more = left_over > 0 && this->local_hosts_before(own_address, hash_of(subject), now) < left_over;
     return of_domain / near + (has_one_more ? 1 : 0);
 }
 
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -143,7 +143,7 @@
     /// With this one.
     [[nodiscard]] u32 hosts_of_own_domain(Instant now) const;
     /// Hosts of this domain that may be serving and come before this one for the subject.
-    [[nodiscard]] u32 near_hosts_before(Address const& own_address, u64 subject_hash, Instant now) const;
+    [[nodiscard]] u32 local_hosts_before(Address const& own_address, u64 subject_hash, Instant now) const;
     /// Of each other domain: what those that speak for it say, or else how many are known.
     [[nodiscard]] std::map<FailureDomainId, u32> hosts_of_other_domains(Instant now) const;
     [[nodiscard]] bool is_able_reader(Host const& host, Instant now) const;
