--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -153,15 +153,15 @@
     return known != this->hosts.end() && !is_silent(known->second, now);
 }
 
-bool Reachability::is_able_reader(Host const& host, Instant now) const
+bool Reachability::is_available_reader(Host const& host, Instant now) const
 {
     return host.status.domain == this->own_domain && !is_silent(host, now) && !host.status.platform_unavailable;
 }
 
 size_t Reachability::able_readers(Instant now) const
 {
-    return static_cast<size_t>(
-        std::ranges::count_if(this->hosts, [&](auto const& entry) { return this->is_able_reader(entry.second, now); }));
+    return static_cast<size_t>(std::ranges::count_if(
+        this->hosts, [&](auto const& entry) { return this->is_available_reader(entry.second, now); }));
 }
 
 size_t Reachability::able_readers_before(Address const& own_address, Instant now) const
@@ -169,7 +169,7 @@
     auto const duty = hash_of(reading_duty);
     auto const own_rank = rank(own_address, duty);
     return static_cast<size_t>(std::ranges::count_if(this->hosts, [&](auto const& entry) {
-        return this->is_able_reader(entry.second, now) && rank(entry.second.hash, duty) > own_rank;
+        return this->is_available_reader(entry.second, now) && rank(entry.second.hash, duty) > own_rank;
     }));
 }
 
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -146,7 +146,7 @@
     [[nodiscard]] u32 local_hosts_before(Address const& own_address, u64 subject_hash, Instant now) const;
     /// Of each other domain: what those that speak for it say, or else how many are known.
     [[nodiscard]] std::map<FailureDomainId, u32> hosts_of_other_domains(Instant now) const;
-    [[nodiscard]] bool is_able_reader(Host const& host, Instant now) const;
+    [[nodiscard]] bool is_available_reader(Host const& host, Instant now) const;
     /// Hosts of this domain that the platform answers and that come before this one in the order of readers.
     [[nodiscard]] size_t able_readers_before(Address const& own_address, Instant now) const;
     [[nodiscard]] size_t able_readers(Instant now) const;
