--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -164,7 +164,7 @@
         this->hosts, [&](auto const& entry) { return this->is_available_reader(entry.second, now); }));
 }
 
-size_t Reachability::able_readers_before(Address const& own_address, Instant now) const
+size_t Reachability::available_readers_before(Address const& own_address, Instant now) const
 {
     auto const duty = hash_of(reading_duty);
     auto const own_rank = rank(own_address, duty);
@@ -186,7 +186,7 @@
 
 bool Reachability::is_primary_reader(Address const& own_address, Instant now) const
 {
-    return this->able_readers_before(own_address, now) == 0;
+    return this->available_readers_before(own_address, now) == 0;
 }
 
 bool Reachability::is_leading_reader(Address const& own_address, Instant now) const
@@ -208,7 +208,7 @@
         return entry.second.status.domain != this->own_domain && !is_silent(entry.second, now);
     });
     bool const needs_one = has_other_domains && this->able_readers(now) + 1 < large_domain;
-    return this->able_readers_before(own_address, now) < (needs_one ? 1 : readers_of_large_domain);
+    return this->available_readers_before(own_address, now) < (needs_one ? 1 : readers_of_large_domain);
 }
 
 std::vector<FailureDomainId> Reachability::other_domains() const
