--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -158,7 +158,7 @@
     return host.status.domain == this->own_domain && !is_silent(host, now) && !host.status.platform_unavailable;
 }
 
-size_t Reachability::able_readers(Instant now) const
+size_t Reachability::available_readers(Instant now) const
 {
     return static_cast<size_t>(std::ranges::count_if(
         this->hosts, [&](auto const& entry) { return this->is_available_reader(entry.second, now); }));
@@ -207,7 +207,7 @@
     bool const has_other_domains = std::ranges::any_of(this->hosts, [&](auto const& entry) {
         return entry.second.status.domain != this->own_domain && !is_silent(entry.second, now);
     });
-    bool const needs_one = has_other_domains && this->able_readers(now) + 1 < large_domain;
+    bool const needs_one = has_other_domains && this->available_readers(now) + 1 < large_domain;
     return this->available_readers_before(own_address, now) < (needs_one ? 1 : readers_of_large_domain);
 }
 
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -149,7 +149,7 @@
     [[nodiscard]] bool is_available_reader(Host const& host, Instant now) const;
     /// Hosts of this domain that the platform answers and that come before this one in the order of readers.
     [[nodiscard]] size_t available_readers_before(Address const& own_address, Instant now) const;
-    [[nodiscard]] size_t able_readers(Instant now) const;
+    [[nodiscard]] size_t available_readers(Instant now) const;
     [[nodiscard]] std::vector<FailureDomainId> other_domains() const;
     [[nodiscard]] std::vector<Address> receivers_in(FailureDomainId const& domain, u64 draw, Instant now) const;
 
