--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -322,8 +322,7 @@
     }
     std::vector<FailureDomainId> silent;
     for (auto const& [name, domain] : domains) {
-        auto limit
-            = std::max<Duration>(shortest_domain_silence, tolerated_missing_messages * domain.period / domain.hosts);
+        auto limit = std::max<Duration>(min_domain_silence, tolerated_missing_messages * domain.period / domain.hosts);
         if (now - domain.received_at > limit)
             silent.push_back(name);
     }
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -114,7 +114,7 @@
     static constexpr Duration tolerated_lateness = 200ms;
     /// In a domain of many hosts some message of some host comes all the time; this is for a few that are late
     /// together.
-    static constexpr Duration shortest_domain_silence = 1s;
+    static constexpr Duration min_domain_silence = 1s;
     /// Hosts of a larger domain that read the platform; a small one has the readers of the others to fall back on.
     static constexpr size_t readers_of_large_domain = 2;
     static constexpr size_t large_domain = 4;
