--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -32,7 +32,7 @@
         add_to(engine.domain_peer_work, use, sign);
 }
 
-void PeerUse::replace(Host& host, EngineId const& id, Told const& told, BackendTable& table)
+void PeerUse::replace(Host& host, EngineId const& id, ReportedUse const& told, BackendTable& table)
 {
     auto& known = host.engines[id];
     if (auto backend = table.find_running(id)) {
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -24,7 +24,7 @@
     using Use = EngineWork;
 
     /// What is said of one engine, and of which of its starts.
-    struct Told {
+    struct ReportedUse {
         ServerStart start;
         Use use;
     };
@@ -44,10 +44,10 @@
         Duration silence_limit { shortest_silence };
         /// One host of this failure domain; else all hosts of another one together.
         bool is_local { true };
-        std::map<EngineId, Told> engines;
+        std::map<EngineId, ReportedUse> engines;
     };
 
-    static void replace(Host&, EngineId const&, Told const&, BackendTable&);
+    static void replace(Host&, EngineId const&, ReportedUse const&, BackendTable&);
     static void forget_all_but(Host&, std::set<EngineId> const& named, BackendTable&);
     static void add(Backend&, Use const&, bool is_local, int sign);
 
