--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -385,7 +385,7 @@
     } else {
         this->context.reach.record_message(sender, now);
     }
-    this->use.heard(MemberId(name), message, this->context.backends, now);
+    this->use.apply(MemberId(name), message, this->context.backends, now);
     if (message.engines_size() > 0)
         this->tell_domain_changes_soon();
     apply_suspicions(this->context, MemberId(name), message);
@@ -415,7 +415,7 @@
     if (is_relayed)
         this->context.reach.record_message(sender, now);
     this->send_through_relays(message, is_relayed ? addresses_of(message.relay_to()) : this->heard_near());
-    this->use.heard(MemberId(domain.value()), message, this->context.backends, now);
+    this->use.apply(MemberId(domain.value()), message, this->context.backends, now);
     this->heard_leaving(message);
     this->heard_ended(message);
     apply_refusals(this->context, message);
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -34,7 +34,7 @@
     PeerUse use;
     Instant const now { 50s };
     MemberId const host("host-1");
-    use.heard(host, own.whole(own_table), other_table, now);
+    use.apply(host, own.whole(own_table), other_table, now);
     CHECK(engine->engine.peer_generations == 2);
     CHECK(engine->engine.peer_tokens == 5000);
     CHECK(engine->engine.peer_unread_tokens == 3000);
@@ -49,7 +49,7 @@
         own_engine->engine.own_unread_tokens = 0;
         auto changes = own.changes(own_table);
         REQUIRE(changes.has_value());
-        use.heard(host, *changes, other_table, now);
+        use.apply(host, *changes, other_table, now);
         CHECK(engine->engine.peer_unread_tokens == 0);
         CHECK(engine->engine.peer_generations == 2);
     }
@@ -58,12 +58,12 @@
         own_engine->engine.own_uncopied_tokens = 2500;
         auto changes = own.changes(own_table);
         REQUIRE(changes.has_value());
-        use.heard(host, *changes, other_table, now);
+        use.apply(host, *changes, other_table, now);
         THEN("the others know that the engine's link is busy, until it has been copied")
         {
             CHECK(engine->engine.uncopied_tokens() == 2500);
             own_engine->engine.own_uncopied_tokens = 0;
-            use.heard(host, *own.changes(own_table), other_table, now);
+            use.apply(host, *own.changes(own_table), other_table, now);
             CHECK(engine->engine.uncopied_tokens() == 0);
         }
     }
@@ -76,7 +76,7 @@
         {
             auto changes = own.changes(own_table);
             REQUIRE(changes.has_value());
-            use.heard(host, *changes, other_table, now);
+            use.apply(host, *changes, other_table, now);
             CHECK(engine->engine.uncopied_tokens() == 2500);
             own_table.expire_removed(now + 1min);
             CHECK_FALSE(own.changes(own_table).has_value());
@@ -85,24 +85,24 @@
     WHEN("a copy is on its way to the engine")
     {
         own_engine->engine.own_incoming_tokens = 4000;
-        use.heard(host, *own.changes(own_table), other_table, now);
+        use.apply(host, *own.changes(own_table), other_table, now);
         THEN("the others know that its link is busy, until it is there")
         {
             CHECK(engine->engine.incoming_tokens() == 4000);
             own_engine->engine.own_incoming_tokens = 0;
-            use.heard(host, *own.changes(own_table), other_table, now);
+            use.apply(host, *own.changes(own_table), other_table, now);
             CHECK(engine->engine.incoming_tokens() == 0);
         }
     }
     WHEN("a second host tells of its own")
     {
-        use.heard(MemberId("host-2"), own.whole(own_table), other_table, now);
+        use.apply(MemberId("host-2"), own.whole(own_table), other_table, now);
         CHECK(engine->engine.peer_generations == 4);
     }
     WHEN("a whole message leaves an engine out")
     {
         own_engine->engine = {};
-        use.heard(host, own.whole(own_table), other_table, now);
+        use.apply(host, own.whole(own_table), other_table, now);
         CHECK(engine->engine.peer_tokens == 0);
     }
     WHEN("the host falls silent")
@@ -116,7 +116,7 @@
     {
         BackendTable late_table;
         PeerUse early;
-        early.heard(host, own.whole(own_table), late_table, now);
+        early.apply(host, own.whole(own_table), late_table, now);
         auto late = add_engine(late_table, "e1");
         early.apply_to(*late);
         CHECK(late->engine.peer_tokens == 5000);
@@ -426,14 +426,14 @@
     neighbour_use.set_engine("e1");
     neighbour_use.set_generations(3);
     neighbour_use.set_tokens(9000);
-    speaker_hears.heard(MemberId("neighbour"), from_neighbour, speaker_table, now);
+    speaker_hears.apply(MemberId("neighbour"), from_neighbour, speaker_table, now);
 
     BackendTable table;
     auto engine = add_engine(table, "e1");
     PeerUse use;
     auto hear = [&](wire::HostUse message, std::string const& speaker) {
         message.set_domain_speaker(speaker);
-        use.heard(MemberId("hall-b"), message, table, now);
+        use.apply(MemberId("hall-b"), message, table, now);
     };
     hear(first_told.whole(speaker_table), "10.0.0.1:1");
     CHECK(engine->engine.peer_generations == 5);
@@ -446,7 +446,7 @@
     WHEN("it has heard of one that has ended")
     {
         neighbour_use.set_generations(2);
-        speaker_hears.heard(MemberId("neighbour"), from_neighbour, speaker_table, now);
+        speaker_hears.apply(MemberId("neighbour"), from_neighbour, speaker_table, now);
         hear(*first_told.changes(speaker_table), "10.0.0.1:1");
         CHECK(engine->engine.peer_generations == 4);
     }
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -44,7 +44,7 @@
         engine.set_engine(id.value());
         engine.set_start(start);
         engine.set_tokens(tokens);
-        this->use.heard(MemberId("host-2"), message, this->context.backends, this->now);
+        this->use.apply(MemberId("host-2"), message, this->context.backends, this->now);
     }
     void peer_cannot_connect(i64 start, std::string const& peer)
     {
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -127,7 +127,7 @@
         bytes = text.size();
         wire::HostUse heard;
         heard.ParseFromString(text);
-        use.heard(MemberId("hall-1"), heard, table, now);
+        use.apply(MemberId("hall-1"), heard, table, now);
     }
     state.counters["bytes"] = static_cast<double>(bytes);
 }
