--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -55,7 +55,7 @@
     }
 }
 
-void PeerUse::heard(MemberId const& name, wire::HostUse const& message, BackendTable& table, Instant now)
+void PeerUse::apply(MemberId const& name, wire::HostUse const& message, BackendTable& table, Instant now)
 {
     auto& host = this->hosts[name];
     host.received_at = now;
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -31,7 +31,7 @@
 
     /// Takes in what `host` says, and adds the difference to the engines in the table. What is said of a whole failure
     /// domain is kept under the domain's name, whichever of its hosts says it.
-    void heard(MemberId const& host, wire::HostUse const&, BackendTable&, Instant now);
+    void apply(MemberId const& host, wire::HostUse const&, BackendTable&, Instant now);
     /// Forgets hosts that have been silent for too long. Answers their names.
     std::vector<MemberId> forget_silent(BackendTable&, Instant now);
     /// Puts what is known of an engine that has just come into the table.
