--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -73,7 +73,7 @@
     if (!message.is_whole())
         return;
     host.silence_limit
-        = std::max<Duration>(shortest_silence, 3 * std::chrono::milliseconds(message.period_milliseconds()));
+        = std::max<Duration>(min_silence_limit, 3 * std::chrono::milliseconds(message.period_milliseconds()));
     forget_all_but(host, named, table);
 }
 
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -19,7 +19,7 @@
 public:
     /// A host that has said nothing for three times the period of its whole messages, and for this long at least, is
     /// taken to be gone or cut off, and what it said is forgotten.
-    static constexpr Duration shortest_silence = 3s;
+    static constexpr Duration min_silence_limit = 3s;
 
     using Use = EngineWork;
 
@@ -41,7 +41,7 @@
 private:
     struct Host {
         Instant received_at {};
-        Duration silence_limit { shortest_silence };
+        Duration silence_limit { min_silence_limit };
         /// One host of this failure domain; else all hosts of another one together.
         bool is_local { true };
         std::map<EngineId, ReportedUse> engines;
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -107,8 +107,8 @@
     }
     WHEN("the host falls silent")
     {
-        CHECK(use.forget_silent(other_table, now + PeerUse::shortest_silence).empty());
-        CHECK(use.forget_silent(other_table, now + PeerUse::shortest_silence + 1ms) == std::vector { host });
+        CHECK(use.forget_silent(other_table, now + PeerUse::min_silence_limit).empty());
+        CHECK(use.forget_silent(other_table, now + PeerUse::min_silence_limit + 1ms) == std::vector { host });
         CHECK(engine->engine.peer_tokens == 0);
         CHECK(engine->engine.peer_generations == 0);
     }
