--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -241,7 +241,7 @@
         if (error)
             return;
         if (this->own_place_among_speakers() < Reachability::representatives_per_domain) {
-            auto message = this->told_elsewhere.whole(this->context.backends);
+            auto message = this->told_elsewhere.full_state(this->context.backends);
             this->complete_whole(message, period);
             put_recent_rate_limits(message, this->context, LimitScope::All);
             this->send_elsewhere(std::move(message));
@@ -306,7 +306,7 @@
 
 void PeerLink::tell_whole()
 {
-    auto message = this->told.whole(this->context.backends);
+    auto message = this->told.full_state(this->context.backends);
     this->complete_whole(message, this->period());
     put_recent_rate_limits(message, this->context, LimitScope::Own);
     this->broadcast(message);
@@ -324,7 +324,7 @@
 
 void PeerLink::send_whole(Address const& peer, bool wants_answer)
 {
-    auto message = OwnUse(UseScope::Host).whole(this->context.backends);
+    auto message = OwnUse(UseScope::Host).full_state(this->context.backends);
     this->complete_whole(message, this->period());
     message.set_wants_answer(wants_answer);
     message.clear_ending();
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -34,7 +34,7 @@
     PeerUse use;
     Instant const now { 50s };
     MemberId const host("host-1");
-    use.apply(host, own.whole(own_table), other_table, now);
+    use.apply(host, own.full_state(own_table), other_table, now);
     CHECK(engine->engine.peer_generations == 2);
     CHECK(engine->engine.peer_tokens == 5000);
     CHECK(engine->engine.peer_unread_tokens == 3000);
@@ -96,13 +96,13 @@
     }
     WHEN("a second host tells of its own")
     {
-        use.apply(MemberId("host-2"), own.whole(own_table), other_table, now);
+        use.apply(MemberId("host-2"), own.full_state(own_table), other_table, now);
         CHECK(engine->engine.peer_generations == 4);
     }
     WHEN("a whole message leaves an engine out")
     {
         own_engine->engine = {};
-        use.apply(host, own.whole(own_table), other_table, now);
+        use.apply(host, own.full_state(own_table), other_table, now);
         CHECK(engine->engine.peer_tokens == 0);
     }
     WHEN("the host falls silent")
@@ -116,7 +116,7 @@
     {
         BackendTable late_table;
         PeerUse early;
-        early.apply(host, own.whole(own_table), late_table, now);
+        early.apply(host, own.full_state(own_table), late_table, now);
         auto late = add_engine(late_table, "e1");
         early.apply_to(*late);
         CHECK(late->engine.peer_tokens == 5000);
@@ -435,12 +435,12 @@
         message.set_domain_speaker(speaker);
         use.apply(MemberId("hall-b"), message, table, now);
     };
-    hear(first_told.whole(speaker_table), "10.0.0.1:1");
+    hear(first_told.full_state(speaker_table), "10.0.0.1:1");
     CHECK(engine->engine.peer_generations == 5);
     CHECK(engine->engine.peer_tokens == 14000);
     WHEN("the second speaker tells the same")
     {
-        hear(OwnUse(UseScope::Domain).whole(speaker_table), "10.0.0.2:1");
+        hear(OwnUse(UseScope::Domain).full_state(speaker_table), "10.0.0.2:1");
         THEN("it is not counted twice") { CHECK(engine->engine.peer_generations == 5); }
     }
     WHEN("it has heard of one that has ended")
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -121,7 +121,7 @@
     OwnUse own(UseScope::Domain);
     size_t bytes = 0;
     for (auto _ : state) {
-        auto message = own.whole(table);
+        auto message = own.full_state(table);
         message.set_domain_speaker("10.1.0.1:7200");
         auto const text = message.SerializeAsString();
         bytes = text.size();
