--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -269,7 +269,7 @@
         this->changes_wait = false;
         if (error)
             return;
-        if (auto changes = this->told.changes(this->context.backends))
+        if (auto changes = this->told.delta(this->context.backends))
             this->broadcast(*changes);
     }));
 }
@@ -284,7 +284,7 @@
         this->domain_changes_wait = false;
         if (error || this->own_place_among_speakers() > 0)
             return;
-        if (auto changes = this->told_elsewhere.changes(this->context.backends))
+        if (auto changes = this->told_elsewhere.delta(this->context.backends))
             this->send_elsewhere(std::move(*changes));
     }));
 }
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -42,12 +42,12 @@
     WHEN("nothing notable changes")
     {
         own_engine->engine.own_tokens += 100;
-        CHECK_FALSE(own.changes(own_table).has_value());
+        CHECK_FALSE(own.delta(own_table).has_value());
     }
     WHEN("a prompt has been read")
     {
         own_engine->engine.own_unread_tokens = 0;
-        auto changes = own.changes(own_table);
+        auto changes = own.delta(own_table);
         REQUIRE(changes.has_value());
         use.apply(host, *changes, other_table, now);
         CHECK(engine->engine.peer_unread_tokens == 0);
@@ -56,14 +56,14 @@
     WHEN("a generation there has to leave and is not copied yet")
     {
         own_engine->engine.own_uncopied_tokens = 2500;
-        auto changes = own.changes(own_table);
+        auto changes = own.delta(own_table);
         REQUIRE(changes.has_value());
         use.apply(host, *changes, other_table, now);
         THEN("the others know that the engine's link is busy, until it has been copied")
         {
             CHECK(engine->engine.uncopied_tokens() == 2500);
             own_engine->engine.own_uncopied_tokens = 0;
-            use.apply(host, *own.changes(own_table), other_table, now);
+            use.apply(host, *own.delta(own_table), other_table, now);
             CHECK(engine->engine.uncopied_tokens() == 0);
         }
     }
@@ -74,23 +74,23 @@
         own_engine->engine.own_uncopied_tokens = 2500;
         THEN("what its link still has to carry is told, until it has surely ended")
         {
-            auto changes = own.changes(own_table);
+            auto changes = own.delta(own_table);
             REQUIRE(changes.has_value());
             use.apply(host, *changes, other_table, now);
             CHECK(engine->engine.uncopied_tokens() == 2500);
             own_table.expire_removed(now + 1min);
-            CHECK_FALSE(own.changes(own_table).has_value());
+            CHECK_FALSE(own.delta(own_table).has_value());
         }
     }
     WHEN("a copy is on its way to the engine")
     {
         own_engine->engine.own_incoming_tokens = 4000;
-        use.apply(host, *own.changes(own_table), other_table, now);
+        use.apply(host, *own.delta(own_table), other_table, now);
         THEN("the others know that its link is busy, until it is there")
         {
             CHECK(engine->engine.incoming_tokens() == 4000);
             own_engine->engine.own_incoming_tokens = 0;
-            use.apply(host, *own.changes(own_table), other_table, now);
+            use.apply(host, *own.delta(own_table), other_table, now);
             CHECK(engine->engine.incoming_tokens() == 0);
         }
     }
@@ -447,12 +447,12 @@
     {
         neighbour_use.set_generations(2);
         speaker_hears.apply(MemberId("neighbour"), from_neighbour, speaker_table, now);
-        hear(*first_told.changes(speaker_table), "10.0.0.1:1");
+        hear(*first_told.delta(speaker_table), "10.0.0.1:1");
         CHECK(engine->engine.peer_generations == 4);
     }
     THEN("a host does not tell on what it has heard of another domain")
     {
-        CHECK_FALSE(OwnUse(UseScope::Domain).changes(table).has_value());
+        CHECK_FALSE(OwnUse(UseScope::Domain).delta(table).has_value());
         CHECK(engine->engine.domain_peer_work == EngineWork {});
     }
 }
