--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -122,7 +122,7 @@
     engine.set_incoming_tokens(use.incoming_tokens);
 }
 
-wire::HostUse OwnUse::whole(BackendTable const& table)
+wire::HostUse OwnUse::full_state(BackendTable const& table)
 {
     wire::HostUse message;
     message.set_is_whole(true);
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -70,7 +70,7 @@
     {
     }
 
-    [[nodiscard]] wire::HostUse whole(BackendTable const&);
+    [[nodiscard]] wire::HostUse full_state(BackendTable const&);
     /// Empty when nothing worth telling has changed.
     [[nodiscard]] std::optional<wire::HostUse> changes(BackendTable const&);
 
