--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -138,7 +138,7 @@
     return message;
 }
 
-std::optional<wire::HostUse> OwnUse::changes(BackendTable const& table)
+std::optional<wire::HostUse> OwnUse::delta(BackendTable const& table)
 {
     wire::HostUse message;
     for (auto const& backend : table.running()) {
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -72,7 +72,7 @@
 
     [[nodiscard]] wire::HostUse full_state(BackendTable const&);
     /// Empty when nothing worth telling has changed.
-    [[nodiscard]] std::optional<wire::HostUse> changes(BackendTable const&);
+    [[nodiscard]] std::optional<wire::HostUse> delta(BackendTable const&);
 
 private:
     [[nodiscard]] PeerUse::Use use_of(Backend const&) const;
