--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -9,7 +9,7 @@
 namespace Serving {
 
 /// Tokens that running generations gain are told with the next whole message, unless they add up to this much.
-static constexpr i64 notable_token_change = 1000;
+static constexpr i64 min_token_change = 1000;
 
 static void add_to(EngineWork& work, EngineWork const& use, int sign)
 {
@@ -147,7 +147,7 @@
         auto& before = this->told[id];
         bool const has_changed = use.generations != before.generations || use.unread_tokens != before.unread_tokens
             || use.uncopied_tokens != before.uncopied_tokens || use.incoming_tokens != before.incoming_tokens
-            || std::abs(use.tokens - before.tokens) >= notable_token_change;
+            || std::abs(use.tokens - before.tokens) >= min_token_change;
         if (!has_changed)
             continue;
         append(message, backend->server, use);
