--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -101,7 +101,7 @@
         };
         this->context.backend_leaves = [this](Backend const& backend) {
             this->backends.handle_leaving(backend.server.id, backend.server.start, backend.ends_at);
-            this->peers.tell_leaving(backend);
+            this->peers.announce_leaving(backend);
         };
         this->peers.start();
         this->directory.start();
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -80,7 +80,7 @@
     }
 }
 
-void PeerLink::tell_leaving(Backend const& backend)
+void PeerLink::announce_leaving(Backend const& backend)
 {
     wire::HostUse message;
     auto& leaving = *message.add_leaving();
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -49,7 +49,7 @@
     void update_known_hosts(std::vector<KnownHost> hosts);
     void backend_appeared(Backend& backend) { this->use.apply_to(backend); }
     /// Tells the others that a backend server is leaving; the platform may not have told them.
-    void tell_leaving(Backend const&);
+    void announce_leaving(Backend const&);
     /// Tells the others of a backend server that refuses requests.
     void tell_refusing(Backend const&);
     /// Tells the others of a backend server in whose place another process answers.
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -171,7 +171,7 @@
     }
     WHEN("a host says that an engine leaves")
     {
-        fleet.hosts.back().link.tell_leaving(*fleet.hosts.back().engine);
+        fleet.hosts.back().link.announce_leaving(*fleet.hosts.back().engine);
         fleet.until_all([&](TalkingHost const& host) { return &host == &fleet.hosts.back() || !host.leaving.empty(); });
     }
     WHEN("a change of the platform is passed on")
