--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -58,7 +58,7 @@
     this->context.use_changed = [this] { this->tell_changes_soon(); };
     this->context.backend_unreachable
         = [this](Backend const& backend, Duration avoided) { this->tell_unreachable(backend, avoided); };
-    this->context.backend_refuses = [this](Backend const& backend) { this->tell_refusing(backend); };
+    this->context.backend_refuses = [this](Backend const& backend) { this->announce_refusals(backend); };
     this->context.limit_changed = [this](Backend const& backend) { this->tell_limit(backend); };
     this->context.quarantine_changed = [this](RequestFingerprint const& request) { this->tell_request_end(request); };
     this->transport.on_message([this](wire::Envelope const& envelope) { this->heard(envelope); });
@@ -92,7 +92,7 @@
     this->send_elsewhere(std::move(message));
 }
 
-void PeerLink::tell_refusing(Backend const& backend)
+void PeerLink::announce_refusals(Backend const& backend)
 {
     wire::HostUse message;
     auto& refusing = *message.add_refusing();
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -51,7 +51,7 @@
     /// Tells the others that a backend server is leaving; the platform may not have told them.
     void announce_leaving(Backend const&);
     /// Tells the others of a backend server that refuses requests.
-    void tell_refusing(Backend const&);
+    void announce_refusals(Backend const&);
     /// Tells the others of a backend server in whose place another process answers.
     void tell_ended(BackendServer const&);
     /// Tells the others of the limit that a backend server has named.
