--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -97,7 +97,7 @@
             if (backend.has_terminated)
                 return;
             this->backends.handle_termination(server.id, server.start, server.address);
-            this->peers.tell_ended(server);
+            this->peers.announce_termination(server);
         };
         this->context.backend_leaves = [this](Backend const& backend) {
             this->backends.handle_leaving(backend.server.id, backend.server.start, backend.ends_at);
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -103,7 +103,7 @@
     this->send_elsewhere(std::move(message));
 }
 
-void PeerLink::tell_ended(BackendServer const& server)
+void PeerLink::announce_termination(BackendServer const& server)
 {
     wire::HostUse message;
     auto& ended = *message.add_ended();
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -53,7 +53,7 @@
     /// Tells the others of a backend server that refuses requests.
     void announce_refusals(Backend const&);
     /// Tells the others of a backend server in whose place another process answers.
-    void tell_ended(BackendServer const&);
+    void announce_termination(BackendServer const&);
     /// Tells the others of the limit that a backend server has named.
     void tell_limit(Backend const&);
     /// Tells the others what this host has found out of a request under which servers end.
