--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -59,7 +59,7 @@
     this->context.backend_unreachable
         = [this](Backend const& backend, Duration avoided) { this->tell_unreachable(backend, avoided); };
     this->context.backend_refuses = [this](Backend const& backend) { this->announce_refusals(backend); };
-    this->context.limit_changed = [this](Backend const& backend) { this->tell_limit(backend); };
+    this->context.limit_changed = [this](Backend const& backend) { this->announce_limit(backend); };
     this->context.quarantine_changed = [this](RequestFingerprint const& request) { this->tell_request_end(request); };
     this->transport.on_message([this](wire::Envelope const& envelope) { this->heard(envelope); });
 }
@@ -114,7 +114,7 @@
     this->send_elsewhere(std::move(message));
 }
 
-void PeerLink::tell_limit(Backend const& backend)
+void PeerLink::announce_limit(Backend const& backend)
 {
     wire::HostUse message;
     put_rate_limit(message, this->context, backend);
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -55,7 +55,7 @@
     /// Tells the others of a backend server in whose place another process answers.
     void announce_termination(BackendServer const&);
     /// Tells the others of the limit that a backend server has named.
-    void tell_limit(Backend const&);
+    void announce_limit(Backend const&);
     /// Tells the others what this host has found out of a request under which servers end.
     void tell_request_end(RequestFingerprint const&);
     /// Tells the hosts of this domain of a backend server that cannot be connected to.
