--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -60,7 +60,8 @@
         = [this](Backend const& backend, Duration avoided) { this->tell_unreachable(backend, avoided); };
     this->context.backend_refuses = [this](Backend const& backend) { this->announce_refusals(backend); };
     this->context.limit_changed = [this](Backend const& backend) { this->announce_limit(backend); };
-    this->context.quarantine_changed = [this](RequestFingerprint const& request) { this->tell_request_end(request); };
+    this->context.quarantine_changed
+        = [this](RequestFingerprint const& request) { this->announce_request_termination(request); };
     this->transport.on_message([this](wire::Envelope const& envelope) { this->heard(envelope); });
 }
 
@@ -122,7 +123,7 @@
     this->send_elsewhere(std::move(message));
 }
 
-void PeerLink::tell_request_end(RequestFingerprint const& request)
+void PeerLink::announce_request_termination(RequestFingerprint const& request)
 {
     wire::HostUse message;
     put_request_termination(message, this->context, request);
