--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -57,7 +57,7 @@
     this->transport.announce_as(context.settings.peer_address);
     this->context.use_changed = [this] { this->tell_changes_soon(); };
     this->context.backend_unreachable
-        = [this](Backend const& backend, Duration avoided) { this->tell_unreachable(backend, avoided); };
+        = [this](Backend const& backend, Duration avoided) { this->announce_unreachable(backend, avoided); };
     this->context.backend_refuses = [this](Backend const& backend) { this->announce_refusals(backend); };
     this->context.limit_changed = [this](Backend const& backend) { this->announce_limit(backend); };
     this->context.quarantine_changed
@@ -131,7 +131,7 @@
     this->send_elsewhere(std::move(message));
 }
 
-void PeerLink::tell_unreachable(Backend const& backend, Duration avoided)
+void PeerLink::announce_unreachable(Backend const& backend, Duration avoided)
 {
     auto now = this->context.now();
     if (now - this->avoided_told_since >= 1s) {
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -59,7 +59,7 @@
     /// Tells the others what this host has found out of a request under which servers end.
     void announce_request_termination(RequestFingerprint const&);
     /// Tells the hosts of this domain of a backend server that cannot be connected to.
-    void tell_unreachable(Backend const&, Duration avoided);
+    void announce_unreachable(Backend const&, Duration avoided);
     /// Passes on changes of a table that this host has read, to the hosts of this domain and to one of each other
     /// domain.
     void pass_on(wire::PlatformNews);
