--- a/Libraries/LibServing/NewsExchange.h
+++ b/Libraries/LibServing/NewsExchange.h
@@ -42,7 +42,7 @@
         put_rows(message, news.page.changes, most_news_bytes);
         this->logs[message.table()].add(message);
         if (this->context.reach.is_primary_reader(this->peers.address(), this->context.now()))
-            this->peers.pass_on(std::move(message));
+            this->peers.announce_update(std::move(message));
     }
 
     /// Another host has read changes, or passes on those that a third one has read.
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -178,7 +178,7 @@
     {
         wire::PlatformNews news;
         news.set_version(7);
-        fleet.speaker_of("hall-b")->link.pass_on(news);
+        fleet.speaker_of("hall-b")->link.announce_update(news);
         auto const* teller = &*fleet.speaker_of("hall-b");
         fleet.until_all([&](TalkingHost const& host) { return &host == teller || !host.news.empty(); });
         THEN("each host hears it once")
