--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -170,7 +170,7 @@
     }
 }
 
-void PeerLink::pass_on(wire::PlatformNews news)
+void PeerLink::announce_update(wire::PlatformNews news)
 {
     news.set_failure_domain(this->context.settings.failure_domain.value());
     this->send_through_relays(news, this->heard_near());
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -62,7 +62,7 @@
     void announce_unreachable(Backend const&, Duration avoided);
     /// Passes on changes of a table that this host has read, to the hosts of this domain and to one of each other
     /// domain.
-    void pass_on(wire::PlatformNews);
+    void announce_update(wire::PlatformNews);
     /// Asks another host for the changes of a table after this version.
     void fetch_news(Address const& host, std::string const& table, u64 version);
     /// Passes on changes that another host has read: within this domain to whom that one names, from another domain to
