--- a/Libraries/LibServing/NewsExchange.h
+++ b/Libraries/LibServing/NewsExchange.h
@@ -87,7 +87,7 @@
     void ask_others(std::string_view table, u64 version)
     {
         if (this->last_ahead)
-            this->peers.fetch_news(*this->last_ahead, std::string(table), version);
+            this->peers.fetch_updates(*this->last_ahead, std::string(table), version);
     }
 
     /// What this host can give to another one that knows a table up to `version`.
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -177,7 +177,7 @@
     this->send(this->context.reach.remote_receivers(++this->messages_elsewhere, this->context.now()), std::move(news));
 }
 
-void PeerLink::fetch_news(Address const& host, std::string const& table, u64 version)
+void PeerLink::fetch_updates(Address const& host, std::string const& table, u64 version)
 {
     wire::Envelope envelope;
     envelope.mutable_news_fetch()->set_table(table);
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -64,7 +64,7 @@
     /// domain.
     void announce_update(wire::PlatformNews);
     /// Asks another host for the changes of a table after this version.
-    void fetch_news(Address const& host, std::string const& table, u64 version);
+    void fetch_updates(Address const& host, std::string const& table, u64 version);
     /// Passes on changes that another host has read: within this domain to whom that one names, from another domain to
     /// all of this one.
     void relay(wire::PlatformNews const&, bool is_from_near);
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -161,7 +161,7 @@
     {
         auto& asker = fleet.hosts.front();
         auto& asked = *std::next(fleet.hosts.begin());
-        asker.link.fetch_news(asked.address(), "servers", 41);
+        asker.link.fetch_updates(asked.address(), "servers", 41);
         Test::run_until(fleet.loop, [&] { return !asker.news.empty(); });
         THEN("another one gives it those that it has kept")
         {
