--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -237,7 +237,7 @@
         observer.progress = [this](std::string const& table, u64 last_change, Address const& host) {
             this->news.hear_progress(table, last_change, host);
         };
-        observer.news_since
+        observer.updates_since
             = [this](std::string const& table, u64 version) { return this->news.since(table, version); };
         observer.own_progress = [this] { return this->news.own_progress(); };
         return observer;
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -187,7 +187,7 @@
 
 void PeerLink::answer_fetch(Address const& peer, wire::NewsFetch const& fetch)
 {
-    for (auto& news : this->observer.news_since(fetch.table(), fetch.after())) {
+    for (auto& news : this->observer.updates_since(fetch.table(), fetch.after())) {
         news.set_failure_domain(this->context.settings.failure_domain.value());
         this->send(std::span(&peer, 1), std::move(news));
     }
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -35,7 +35,7 @@
         /// Another host knows a change of this version of a table; it can be asked for it.
         std::function<void(std::string const& table, u64 last_change, Address const& host)> progress;
         /// What is kept of a table's changes after a version.
-        std::function<std::vector<wire::PlatformNews>(std::string const& table, u64 version)> news_since;
+        std::function<std::vector<wire::PlatformNews>(std::string const& table, u64 version)> updates_since;
         /// How far this host has followed the platform's tables.
         std::function<std::vector<std::pair<std::string, u64>>()> own_progress;
     };
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -57,7 +57,7 @@
             this->link.relay(message, is_from_near);
         };
         observer.progress = [](std::string const&, u64, Address const&) {};
-        observer.news_since = [this](std::string const&, u64 version) {
+        observer.updates_since = [this](std::string const&, u64 version) {
             this->fetched_after = version;
             wire::PlatformNews news;
             news.set_version(version + 1);
