--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -363,7 +363,8 @@
         return;
     auto const& news = envelope.platform_news();
     this->context.reach.record_message(sender, this->context.now());
-    this->observer.news(news, FailureDomainId(news.failure_domain()) == this->context.settings.failure_domain);
+    this->observer.update_received(
+        news, FailureDomainId(news.failure_domain()) == this->context.settings.failure_domain);
 }
 
 /// What the sender of a whole message says of itself.
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -52,7 +52,7 @@
         PeerLink::Observer observer;
         observer.backend_leaves
             = [this](EngineId const& id, ServerStart, std::optional<Instant>) { this->leaving.push_back(id.value()); };
-        observer.news = [this](wire::PlatformNews const& message, bool is_from_near) {
+        observer.update_received = [this](wire::PlatformNews const& message, bool is_from_near) {
             this->news.push_back(message.version());
             this->link.relay(message, is_from_near);
         };
