--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -234,7 +234,7 @@
         };
         observer.news
             = [this](wire::PlatformNews const& news, bool is_from_near) { this->news.hear(news, is_from_near); };
-        observer.progress = [this](std::string const& table, u64 last_change, Address const& host) {
+        observer.progress_received = [this](std::string const& table, u64 last_change, Address const& host) {
             this->news.hear_progress(table, last_change, host);
         };
         observer.updates_since
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -429,7 +429,7 @@
 void PeerLink::heard_progress(Address const& sender, wire::HostUse const& message)
 {
     for (auto const& progress : message.tables())
-        this->observer.progress(progress.table(), progress.last_change(), sender);
+        this->observer.progress_received(progress.table(), progress.last_change(), sender);
 }
 
 void PeerLink::heard_ended(wire::HostUse const& message)
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -56,7 +56,7 @@
             this->news.push_back(message.version());
             this->link.relay(message, is_from_near);
         };
-        observer.progress = [](std::string const&, u64, Address const&) {};
+        observer.progress_received = [](std::string const&, u64, Address const&) {};
         observer.updates_since = [this](std::string const&, u64 version) {
             this->fetched_after = version;
             wire::PlatformNews news;
