--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -31,7 +31,7 @@
             [](EngineId const&, ServerStart, Address const&) {}
         };
         /// Changes of a table of the platform. `is_from_near`: from this host's own domain.
-        std::function<void(wire::PlatformNews const&, bool is_from_near)> news;
+        std::function<void(wire::PlatformNews const&, bool is_from_near)> update_received;
         /// Another host knows a change of this version of a table; it can be asked for it.
         std::function<void(std::string const& table, u64 last_change, Address const& host)> progress;
         /// What is kept of a table's changes after a version.
