--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -33,7 +33,7 @@
         /// Changes of a table of the platform. `is_from_near`: from this host's own domain.
         std::function<void(wire::PlatformNews const&, bool is_from_near)> update_received;
         /// Another host knows a change of this version of a table; it can be asked for it.
-        std::function<void(std::string const& table, u64 last_change, Address const& host)> progress;
+        std::function<void(std::string const& table, u64 last_change, Address const& host)> progress_received;
         /// What is kept of a table's changes after a version.
         std::function<std::vector<wire::PlatformNews>(std::string const& table, u64 version)> updates_since;
         /// How far this host has followed the platform's tables.
