--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -229,7 +229,7 @@
         observer.backend_leaves = [this](EngineId const& id, ServerStart start, std::optional<Instant> ends_at) {
             this->backends.handle_leaving(id, start, ends_at);
         };
-        observer.backend_ended = [this](EngineId const& id, ServerStart start, Address const& address) {
+        observer.backend_terminated = [this](EngineId const& id, ServerStart start, Address const& address) {
             this->backends.handle_termination(id, start, address);
         };
         observer.news
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -435,7 +435,8 @@
 void PeerLink::heard_ended(wire::HostUse const& message)
 {
     for (auto const& ended : message.ended())
-        this->observer.backend_ended(EngineId(ended.backend()), ServerStart(ended.start()), Address(ended.address()));
+        this->observer.backend_terminated(
+            EngineId(ended.backend()), ServerStart(ended.start()), Address(ended.address()));
 }
 
 void PeerLink::heard_leaving(wire::HostUse const& message)
