--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -27,7 +27,7 @@
         /// Another host says that a backend server is leaving.
         std::function<void(EngineId const&, ServerStart, std::optional<Instant> ends_at)> backend_leaves;
         /// Another host says that another process answers where a backend server was.
-        std::function<void(EngineId const&, ServerStart, Address const&)> backend_ended {
+        std::function<void(EngineId const&, ServerStart, Address const&)> backend_terminated {
             [](EngineId const&, ServerStart, Address const&) {}
         };
         /// Changes of a table of the platform. `is_from_near`: from this host's own domain.
