--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -233,7 +233,7 @@
             this->backends.handle_termination(id, start, address);
         };
         observer.news
-            = [this](wire::PlatformNews const& news, bool is_from_near) { this->news.hear(news, is_from_near); };
+            = [this](wire::PlatformNews const& news, bool is_local_sender) { this->news.hear(news, is_local_sender); };
         observer.progress_received = [this](std::string const& table, u64 last_change, Address const& host) {
             this->news.hear_progress(table, last_change, host);
         };
--- a/Libraries/LibServing/NewsExchange.h
+++ b/Libraries/LibServing/NewsExchange.h
@@ -46,15 +46,15 @@
     }
 
     /// Another host has read changes, or passes on those that a third one has read.
-    void hear(wire::PlatformNews const& message, bool is_from_near)
+    void hear(wire::PlatformNews const& message, bool is_local_sender)
     {
         auto* follower = this->follower_of(message.table());
         if (!follower)
             return;
         bool const is_known = message.version() <= follower->version();
         // What came from another domain is news to this one, unless its own reader has told it already.
-        if (is_from_near || !is_known)
-            this->peers.relay(message, is_from_near);
+        if (is_local_sender || !is_known)
+            this->peers.relay(message, is_local_sender);
         if (is_known)
             return;
         auto rows = rows_of(message);
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -193,11 +193,11 @@
     }
 }
 
-void PeerLink::relay(wire::PlatformNews const& news, bool is_from_near)
+void PeerLink::relay(wire::PlatformNews const& news, bool is_local_sender)
 {
     auto own = news;
     own.set_failure_domain(this->context.settings.failure_domain.value());
-    this->send_through_relays(std::move(own), is_from_near ? addresses_of(news.relay_to()) : this->heard_near());
+    this->send_through_relays(std::move(own), is_local_sender ? addresses_of(news.relay_to()) : this->heard_near());
 }
 
 Duration PeerLink::period() const
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -30,8 +30,8 @@
         std::function<void(EngineId const&, ServerStart, Address const&)> backend_terminated {
             [](EngineId const&, ServerStart, Address const&) {}
         };
-        /// Changes of a table of the platform. `is_from_near`: from this host's own domain.
-        std::function<void(wire::PlatformNews const&, bool is_from_near)> update_received;
+        /// Changes of a table of the platform. `is_local_sender`: from this host's own domain.
+        std::function<void(wire::PlatformNews const&, bool is_local_sender)> update_received;
         /// Another host knows a change of this version of a table; it can be asked for it.
         std::function<void(std::string const& table, u64 last_change, Address const& host)> progress_received;
         /// What is kept of a table's changes after a version.
@@ -67,7 +67,7 @@
     void fetch_updates(Address const& host, std::string const& table, u64 version);
     /// Passes on changes that another host has read: within this domain to whom that one names, from another domain to
     /// all of this one.
-    void relay(wire::PlatformNews const&, bool is_from_near);
+    void relay(wire::PlatformNews const&, bool is_local_sender);
 
 private:
     void schedule_whole();
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -52,9 +52,9 @@
         PeerLink::Observer observer;
         observer.backend_leaves
             = [this](EngineId const& id, ServerStart, std::optional<Instant>) { this->leaving.push_back(id.value()); };
-        observer.update_received = [this](wire::PlatformNews const& message, bool is_from_near) {
+        observer.update_received = [this](wire::PlatformNews const& message, bool is_local_sender) {
             this->news.push_back(message.version());
-            this->link.relay(message, is_from_near);
+            this->link.relay(message, is_local_sender);
         };
         observer.progress_received = [](std::string const&, u64, Address const&) {};
         observer.updates_since = [this](std::string const&, u64 version) {
