--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -67,7 +67,7 @@
 
 void PeerLink::start()
 {
-    this->schedule_whole();
+    this->schedule_full_state();
     this->schedule_digest();
 }
 
@@ -217,7 +217,7 @@
     return this->context.reach.representatives_before(this->address(), this->context.now());
 }
 
-void PeerLink::schedule_whole()
+void PeerLink::schedule_full_state()
 {
     this->whole_timer.expires_after(this->period());
     this->whole_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
@@ -228,7 +228,7 @@
         this->tell_whole();
         if (++this->rounds % rounds_between_calls_to_silent == 0)
             this->call_silent_peers();
-        this->schedule_whole();
+        this->schedule_full_state();
     }));
 }
 
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -70,7 +70,7 @@
     void relay(wire::PlatformNews const&, bool is_local_sender);
 
 private:
-    void schedule_whole();
+    void schedule_full_state();
     void schedule_digest();
     void call_silent_peers();
     void tell_changes_soon();
