--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -227,7 +227,7 @@
             this->context.log.event(Core::EventNumber::MemberLost, name.value());
         this->tell_whole();
         if (++this->rounds % rounds_between_calls_to_silent == 0)
-            this->call_silent_peers();
+            this->probe_silent_peers();
         this->schedule_full_state();
     }));
 }
@@ -251,7 +251,7 @@
     }));
 }
 
-void PeerLink::call_silent_peers()
+void PeerLink::probe_silent_peers()
 {
     auto now = this->context.now();
     for (auto const& address : this->peers) {
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -72,7 +72,7 @@
 private:
     void schedule_full_state();
     void schedule_digest();
-    void call_silent_peers();
+    void probe_silent_peers();
     void tell_changes_soon();
     void tell_domain_changes_soon();
     void tell_whole();
