--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -55,7 +55,7 @@
     , domain_change_timer(context.loop)
 {
     this->transport.announce_as(context.settings.peer_address);
-    this->context.use_changed = [this] { this->tell_changes_soon(); };
+    this->context.use_changed = [this] { this->schedule_delta(); };
     this->context.backend_unreachable
         = [this](Backend const& backend, Duration avoided) { this->announce_unreachable(backend, avoided); };
     this->context.backend_refuses = [this](Backend const& backend) { this->announce_refusals(backend); };
@@ -260,7 +260,7 @@
     }
 }
 
-void PeerLink::tell_changes_soon()
+void PeerLink::schedule_delta()
 {
     this->tell_domain_changes_soon();
     if (std::exchange(this->changes_wait, true))
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -73,7 +73,7 @@
     void schedule_full_state();
     void schedule_digest();
     void probe_silent_peers();
-    void tell_changes_soon();
+    void schedule_delta();
     void tell_domain_changes_soon();
     void tell_whole();
     void complete_whole(wire::HostUse&, Duration period);
