--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -262,7 +262,7 @@
 
 void PeerLink::schedule_delta()
 {
-    this->tell_domain_changes_soon();
+    this->schedule_domain_delta();
     if (std::exchange(this->changes_wait, true))
         return;
     this->change_timer.expires_after(change_delay);
@@ -276,7 +276,7 @@
 }
 
 /// Only the first speaker tells of changes; the second one's whole messages are enough until it takes over.
-void PeerLink::tell_domain_changes_soon()
+void PeerLink::schedule_domain_delta()
 {
     if (std::exchange(this->domain_changes_wait, true))
         return;
@@ -389,7 +389,7 @@
     }
     this->use.apply(MemberId(name), message, this->context.backends, now);
     if (message.engines_size() > 0)
-        this->tell_domain_changes_soon();
+        this->schedule_domain_delta();
     apply_suspicions(this->context, MemberId(name), message);
     this->heard_leaving(message);
     this->heard_ended(message);
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -74,7 +74,7 @@
     void schedule_digest();
     void probe_silent_peers();
     void schedule_delta();
-    void tell_domain_changes_soon();
+    void schedule_domain_delta();
     void tell_whole();
     void complete_whole(wire::HostUse&, Duration period);
     [[nodiscard]] size_t own_place_among_speakers() const;
