--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -225,7 +225,7 @@
             return;
         for (auto const& name : this->use.forget_silent(this->context.backends, this->context.now()))
             this->context.log.event(Core::EventNumber::MemberLost, name.value());
-        this->tell_whole();
+        this->broadcast_full_state();
         if (++this->rounds % rounds_between_calls_to_silent == 0)
             this->probe_silent_peers();
         this->schedule_full_state();
@@ -305,7 +305,7 @@
     }
 }
 
-void PeerLink::tell_whole()
+void PeerLink::broadcast_full_state()
 {
     auto message = this->told.full_state(this->context.backends);
     this->complete_whole(message, this->period());
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -75,7 +75,7 @@
     void probe_silent_peers();
     void schedule_delta();
     void schedule_domain_delta();
-    void tell_whole();
+    void broadcast_full_state();
     void complete_whole(wire::HostUse&, Duration period);
     [[nodiscard]] size_t own_place_among_speakers() const;
     [[nodiscard]] Duration period() const;
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -36,7 +36,7 @@
         auto const end = this->now + span;
         for (; this->now < end; this->now += step) {
             this->hear();
-            this->tell_whole();
+            this->broadcast_full_state();
             this->see_ends();
             if (this->now >= this->next_try) {
                 this->next_try = this->now + between_tries;
@@ -101,7 +101,7 @@
                 this->now, [&](wire::HostUse const& message) { apply_request_terminations(*host.context, message); });
     }
 
-    void tell_whole()
+    void broadcast_full_state()
     {
         for (auto& host : this->hosts) {
             if (this->now < host.next_whole)
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -82,7 +82,7 @@
         auto const end = this->now + span;
         for (; this->now < end; this->now += step) {
             this->hear();
-            this->tell_whole();
+            this->broadcast_full_state();
             this->take_answers();
             auto const expected = this->shape.calls_per_second * AK::to_seconds(step);
             for (auto i = std::poisson_distribution<u32>(expected)(this->random); i > 0; --i)
@@ -196,7 +196,7 @@
                 this->now, [&](wire::HostUse const& message) { apply_rate_limits(*host.context, message); });
     }
 
-    void tell_whole()
+    void broadcast_full_state()
     {
         for (auto& host : this->hosts) {
             if (this->now < host.next_talk)
