--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -243,7 +243,7 @@
             return;
         if (this->own_place_among_speakers() < Reachability::representatives_per_domain) {
             auto message = this->told_elsewhere.full_state(this->context.backends);
-            this->complete_whole(message, period);
+            this->complete_full_state(message, period);
             put_recent_rate_limits(message, this->context, LimitScope::All);
             this->send_elsewhere(std::move(message));
         }
@@ -290,7 +290,7 @@
     }));
 }
 
-void PeerLink::complete_whole(wire::HostUse& message, Duration period)
+void PeerLink::complete_full_state(wire::HostUse& message, Duration period)
 {
     auto const own = this->context.reach.own_status(period, this->context.now());
     message.set_failure_domain(own.domain.value());
@@ -308,7 +308,7 @@
 void PeerLink::broadcast_full_state()
 {
     auto message = this->told.full_state(this->context.backends);
-    this->complete_whole(message, this->period());
+    this->complete_full_state(message, this->period());
     put_recent_rate_limits(message, this->context, LimitScope::Own);
     this->broadcast(message);
 }
@@ -326,7 +326,7 @@
 void PeerLink::send_whole(Address const& peer, bool wants_answer)
 {
     auto message = OwnUse(UseScope::Host).full_state(this->context.backends);
-    this->complete_whole(message, this->period());
+    this->complete_full_state(message, this->period());
     message.set_wants_answer(wants_answer);
     message.clear_ending();
     put_all_request_terminations(message, this->context);
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -76,7 +76,7 @@
     void schedule_delta();
     void schedule_domain_delta();
     void broadcast_full_state();
-    void complete_whole(wire::HostUse&, Duration period);
+    void complete_full_state(wire::HostUse&, Duration period);
     [[nodiscard]] size_t own_place_among_speakers() const;
     [[nodiscard]] Duration period() const;
     [[nodiscard]] Duration domain_change_delay() const;
