--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -212,7 +212,7 @@
     return change_delay + more * change_delay_for_each_more;
 }
 
-size_t PeerLink::own_place_among_speakers() const
+size_t PeerLink::own_representative_rank() const
 {
     return this->context.reach.representatives_before(this->address(), this->context.now());
 }
@@ -235,13 +235,13 @@
 void PeerLink::schedule_digest()
 {
     this->context.remote_estimate_age = this->domain_change_delay();
-    auto const place = std::min(this->own_place_among_speakers(), Reachability::representatives_per_domain - 1);
+    auto const place = std::min(this->own_representative_rank(), Reachability::representatives_per_domain - 1);
     auto const period = static_cast<i64>(1 + place) * digest_period;
     this->digest_timer.expires_after(period);
     this->digest_timer.async_wait(this->guard.wrap([this, period](boost::system::error_code error) {
         if (error)
             return;
-        if (this->own_place_among_speakers() < Reachability::representatives_per_domain) {
+        if (this->own_representative_rank() < Reachability::representatives_per_domain) {
             auto message = this->told_elsewhere.full_state(this->context.backends);
             this->complete_full_state(message, period);
             put_recent_rate_limits(message, this->context, LimitScope::All);
@@ -283,7 +283,7 @@
     this->domain_change_timer.expires_after(this->domain_change_delay());
     this->domain_change_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
         this->domain_changes_wait = false;
-        if (error || this->own_place_among_speakers() > 0)
+        if (error || this->own_representative_rank() > 0)
             return;
         if (auto changes = this->told_elsewhere.delta(this->context.backends))
             this->send_elsewhere(std::move(*changes));
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -77,7 +77,7 @@
     void schedule_domain_delta();
     void broadcast_full_state();
     void complete_full_state(wire::HostUse&, Duration period);
-    [[nodiscard]] size_t own_place_among_speakers() const;
+    [[nodiscard]] size_t own_representative_rank() const;
     [[nodiscard]] Duration period() const;
     [[nodiscard]] Duration domain_change_delay() const;
     void broadcast(wire::HostUse const&);
