--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -90,7 +90,7 @@
     leaving.set_ends_in_milliseconds(
         backend.ends_at ? AK::to_milliseconds(*backend.ends_at - this->context.now()) : -1);
     this->broadcast(message);
-    this->send_elsewhere(std::move(message));
+    this->send_to_remote_domains(std::move(message));
 }
 
 void PeerLink::announce_refusals(Backend const& backend)
@@ -101,7 +101,7 @@
     refusing.set_start(backend.server.start.value());
     refusing.set_refusals(backend.health.consecutive_refusals);
     this->broadcast(message);
-    this->send_elsewhere(std::move(message));
+    this->send_to_remote_domains(std::move(message));
 }
 
 void PeerLink::announce_termination(BackendServer const& server)
@@ -112,7 +112,7 @@
     ended.set_start(server.start.value());
     ended.set_address(server.address.value());
     this->broadcast(message);
-    this->send_elsewhere(std::move(message));
+    this->send_to_remote_domains(std::move(message));
 }
 
 void PeerLink::announce_limit(Backend const& backend)
@@ -120,7 +120,7 @@
     wire::HostUse message;
     put_rate_limit(message, this->context, backend);
     this->broadcast(message);
-    this->send_elsewhere(std::move(message));
+    this->send_to_remote_domains(std::move(message));
 }
 
 void PeerLink::announce_request_termination(RequestFingerprint const& request)
@@ -128,7 +128,7 @@
     wire::HostUse message;
     put_request_termination(message, this->context, request);
     this->broadcast(message);
-    this->send_elsewhere(std::move(message));
+    this->send_to_remote_domains(std::move(message));
 }
 
 void PeerLink::announce_unreachable(Backend const& backend, Duration avoided)
@@ -245,7 +245,7 @@
             auto message = this->told_elsewhere.full_state(this->context.backends);
             this->complete_full_state(message, period);
             put_recent_rate_limits(message, this->context, LimitScope::All);
-            this->send_elsewhere(std::move(message));
+            this->send_to_remote_domains(std::move(message));
         }
         this->schedule_digest();
     }));
@@ -286,7 +286,7 @@
         if (error || this->own_representative_rank() > 0)
             return;
         if (auto changes = this->told_elsewhere.delta(this->context.backends))
-            this->send_elsewhere(std::move(*changes));
+            this->send_to_remote_domains(std::move(*changes));
     }));
 }
 
@@ -315,7 +315,7 @@
 
 void PeerLink::broadcast(wire::HostUse const& message) { this->send(this->heard_near(), message); }
 
-void PeerLink::send_elsewhere(wire::HostUse message)
+void PeerLink::send_to_remote_domains(wire::HostUse message)
 {
     message.set_failure_domain(this->context.settings.failure_domain.value());
     message.set_domain_speaker(this->address().value());
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -81,7 +81,7 @@
     [[nodiscard]] Duration period() const;
     [[nodiscard]] Duration domain_change_delay() const;
     void broadcast(wire::HostUse const&);
-    void send_elsewhere(wire::HostUse);
+    void send_to_remote_domains(wire::HostUse);
     [[nodiscard]] std::vector<Address> heard_near() const;
     template<typename Message>
     void send_through_relays(Message, std::vector<Address> const& receivers);
