--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -148,7 +148,7 @@
     this->broadcast(message);
 }
 
-std::vector<Address> PeerLink::heard_near() const
+std::vector<Address> PeerLink::reachable_local_addresses() const
 {
     auto now = this->context.now();
     std::vector<Address> heard;
@@ -173,7 +173,7 @@
 void PeerLink::announce_update(wire::PlatformNews news)
 {
     news.set_failure_domain(this->context.settings.failure_domain.value());
-    this->send_through_relays(news, this->heard_near());
+    this->send_through_relays(news, this->reachable_local_addresses());
     this->send(this->context.reach.remote_receivers(++this->messages_elsewhere, this->context.now()), std::move(news));
 }
 
@@ -197,7 +197,8 @@
 {
     auto own = news;
     own.set_failure_domain(this->context.settings.failure_domain.value());
-    this->send_through_relays(std::move(own), is_local_sender ? addresses_of(news.relay_to()) : this->heard_near());
+    this->send_through_relays(
+        std::move(own), is_local_sender ? addresses_of(news.relay_to()) : this->reachable_local_addresses());
 }
 
 Duration PeerLink::period() const
@@ -313,7 +314,7 @@
     this->broadcast(message);
 }
 
-void PeerLink::broadcast(wire::HostUse const& message) { this->send(this->heard_near(), message); }
+void PeerLink::broadcast(wire::HostUse const& message) { this->send(this->reachable_local_addresses(), message); }
 
 void PeerLink::send_to_remote_domains(wire::HostUse message)
 {
@@ -416,7 +417,8 @@
     bool const is_relayed = sender != speaker;
     if (is_relayed)
         this->context.reach.record_message(sender, now);
-    this->send_through_relays(message, is_relayed ? addresses_of(message.relay_to()) : this->heard_near());
+    this->send_through_relays(
+        message, is_relayed ? addresses_of(message.relay_to()) : this->reachable_local_addresses());
     this->use.apply(MemberId(domain.value()), message, this->context.backends, now);
     this->heard_leaving(message);
     this->heard_ended(message);
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -82,7 +82,7 @@
     [[nodiscard]] Duration domain_change_delay() const;
     void broadcast(wire::HostUse const&);
     void send_to_remote_domains(wire::HostUse);
-    [[nodiscard]] std::vector<Address> heard_near() const;
+    [[nodiscard]] std::vector<Address> reachable_local_addresses() const;
     template<typename Message>
     void send_through_relays(Message, std::vector<Address> const& receivers);
     void send_whole(Address const& peer, bool wants_answer);
