--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -77,7 +77,7 @@
     this->context.reach.update_known_hosts(hosts, this->context.now());
     for (auto const& [address, domain] : hosts) {
         if (domain == this->context.settings.failure_domain && this->peers.insert(address).second)
-            this->send_whole(address, true);
+            this->send_full_state(address, true);
     }
 }
 
@@ -257,7 +257,7 @@
     auto now = this->context.now();
     for (auto const& address : this->peers) {
         if (!this->context.reach.is_reachable(address, now))
-            this->send_whole(address, true);
+            this->send_full_state(address, true);
     }
 }
 
@@ -324,7 +324,7 @@
         this->context.reach.remote_receivers(++this->messages_elsewhere, this->context.now()), std::move(message));
 }
 
-void PeerLink::send_whole(Address const& peer, bool wants_answer)
+void PeerLink::send_full_state(Address const& peer, bool wants_answer)
 {
     auto message = OwnUse(UseScope::Host).full_state(this->context.backends);
     this->complete_full_state(message, this->period());
@@ -399,7 +399,7 @@
     apply_rate_limits(this->context, message);
     this->heard_progress(sender, message);
     if (message.wants_answer())
-        this->send_whole(sender, false);
+        this->send_full_state(sender, false);
 }
 
 void PeerLink::heard_domain(Address const& sender, wire::HostUse const& message)
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -85,7 +85,7 @@
     [[nodiscard]] std::vector<Address> reachable_local_addresses() const;
     template<typename Message>
     void send_through_relays(Message, std::vector<Address> const& receivers);
-    void send_whole(Address const& peer, bool wants_answer);
+    void send_full_state(Address const& peer, bool wants_answer);
     void send(std::span<Address const> peers, wire::HostUse);
     void send(std::span<Address const> peers, wire::PlatformNews);
     void answer_fetch(Address const& peer, wire::NewsFetch const&);
