--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -185,7 +185,7 @@
     this->transport.send(host, std::move(envelope));
 }
 
-void PeerLink::answer_fetch(Address const& peer, wire::NewsFetch const& fetch)
+void PeerLink::handle_fetch(Address const& peer, wire::NewsFetch const& fetch)
 {
     for (auto& news : this->observer.updates_since(fetch.table(), fetch.after())) {
         news.set_failure_domain(this->context.settings.failure_domain.value());
@@ -359,7 +359,7 @@
         return this->heard_domain(sender, message);
     }
     if (envelope.has_news_fetch())
-        return this->answer_fetch(sender, envelope.news_fetch());
+        return this->handle_fetch(sender, envelope.news_fetch());
     if (!envelope.has_platform_news())
         return;
     auto const& news = envelope.platform_news();
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -88,7 +88,7 @@
     void send_full_state(Address const& peer, bool wants_answer);
     void send(std::span<Address const> peers, wire::HostUse);
     void send(std::span<Address const> peers, wire::PlatformNews);
-    void answer_fetch(Address const& peer, wire::NewsFetch const&);
+    void handle_fetch(Address const& peer, wire::NewsFetch const&);
     void heard(wire::Envelope const&);
     void heard_host(Address const& sender, std::string const& name, wire::HostUse const&);
     void heard_domain(Address const& sender, wire::HostUse const&);
