--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -355,7 +355,7 @@
     if (envelope.has_host_use()) {
         auto const& message = envelope.host_use();
         if (message.domain_speaker().empty())
-            return this->heard_host(sender, envelope.sender(), message);
+            return this->handle_host_message(sender, envelope.sender(), message);
         return this->heard_domain(sender, message);
     }
     if (envelope.has_news_fetch())
@@ -375,7 +375,7 @@
         message.platform_is_lost(), message.hosts_of_domain() };
 }
 
-void PeerLink::heard_host(Address const& sender, std::string const& name, wire::HostUse const& message)
+void PeerLink::handle_host_message(Address const& sender, std::string const& name, wire::HostUse const& message)
 {
     auto now = this->context.now();
     if (!this->context.reach.is_reachable(sender, now))
