--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -356,7 +356,7 @@
         auto const& message = envelope.host_use();
         if (message.domain_speaker().empty())
             return this->handle_host_message(sender, envelope.sender(), message);
-        return this->heard_domain(sender, message);
+        return this->handle_domain_message(sender, message);
     }
     if (envelope.has_news_fetch())
         return this->handle_fetch(sender, envelope.news_fetch());
@@ -402,7 +402,7 @@
         this->send_full_state(sender, false);
 }
 
-void PeerLink::heard_domain(Address const& sender, wire::HostUse const& message)
+void PeerLink::handle_domain_message(Address const& sender, wire::HostUse const& message)
 {
     FailureDomainId const domain(message.failure_domain());
     if (domain == this->context.settings.failure_domain)
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -91,7 +91,7 @@
     void handle_fetch(Address const& peer, wire::NewsFetch const&);
     void heard(wire::Envelope const&);
     void handle_host_message(Address const& sender, std::string const& name, wire::HostUse const&);
-    void heard_domain(Address const& sender, wire::HostUse const&);
+    void handle_domain_message(Address const& sender, wire::HostUse const&);
     void heard_progress(Address const& sender, wire::HostUse const&);
     void heard_leaving(wire::HostUse const&);
     void heard_ended(wire::HostUse const&);
