--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -397,7 +397,7 @@
     apply_refusals(this->context, message);
     apply_request_terminations(this->context, message);
     apply_rate_limits(this->context, message);
-    this->heard_progress(sender, message);
+    this->handle_progress(sender, message);
     if (message.wants_answer())
         this->send_full_state(sender, false);
 }
@@ -425,10 +425,10 @@
     apply_refusals(this->context, message);
     apply_request_terminations(this->context, message);
     apply_rate_limits(this->context, message);
-    this->heard_progress(sender, message);
+    this->handle_progress(sender, message);
 }
 
-void PeerLink::heard_progress(Address const& sender, wire::HostUse const& message)
+void PeerLink::handle_progress(Address const& sender, wire::HostUse const& message)
 {
     for (auto const& progress : message.tables())
         this->observer.progress_received(progress.table(), progress.last_change(), sender);
