--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -392,7 +392,7 @@
     if (message.engines_size() > 0)
         this->schedule_domain_delta();
     apply_suspicions(this->context, MemberId(name), message);
-    this->heard_leaving(message);
+    this->handle_leaving_list(message);
     this->heard_ended(message);
     apply_refusals(this->context, message);
     apply_request_terminations(this->context, message);
@@ -420,7 +420,7 @@
     this->send_through_relays(
         message, is_relayed ? addresses_of(message.relay_to()) : this->reachable_local_addresses());
     this->use.apply(MemberId(domain.value()), message, this->context.backends, now);
-    this->heard_leaving(message);
+    this->handle_leaving_list(message);
     this->heard_ended(message);
     apply_refusals(this->context, message);
     apply_request_terminations(this->context, message);
@@ -441,7 +441,7 @@
             EngineId(ended.backend()), ServerStart(ended.start()), Address(ended.address()));
 }
 
-void PeerLink::heard_leaving(wire::HostUse const& message)
+void PeerLink::handle_leaving_list(wire::HostUse const& message)
 {
     for (auto const& leaving : message.leaving()) {
         std::optional<Instant> ends_at;
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -93,7 +93,7 @@
     void handle_host_message(Address const& sender, std::string const& name, wire::HostUse const&);
     void handle_domain_message(Address const& sender, wire::HostUse const&);
     void handle_progress(Address const& sender, wire::HostUse const&);
-    void heard_leaving(wire::HostUse const&);
+    void handle_leaving_list(wire::HostUse const&);
     void heard_ended(wire::HostUse const&);
 
     ServingContext& context;
