--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -393,7 +393,7 @@
         this->schedule_domain_delta();
     apply_suspicions(this->context, MemberId(name), message);
     this->handle_leaving_list(message);
-    this->heard_ended(message);
+    this->handle_terminated_list(message);
     apply_refusals(this->context, message);
     apply_request_terminations(this->context, message);
     apply_rate_limits(this->context, message);
@@ -421,7 +421,7 @@
         message, is_relayed ? addresses_of(message.relay_to()) : this->reachable_local_addresses());
     this->use.apply(MemberId(domain.value()), message, this->context.backends, now);
     this->handle_leaving_list(message);
-    this->heard_ended(message);
+    this->handle_terminated_list(message);
     apply_refusals(this->context, message);
     apply_request_terminations(this->context, message);
     apply_rate_limits(this->context, message);
@@ -434,7 +434,7 @@
         this->observer.progress_received(progress.table(), progress.last_change(), sender);
 }
 
-void PeerLink::heard_ended(wire::HostUse const& message)
+void PeerLink::handle_terminated_list(wire::HostUse const& message)
 {
     for (auto const& ended : message.ended())
         this->observer.backend_terminated(
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -94,7 +94,7 @@
     void handle_domain_message(Address const& sender, wire::HostUse const&);
     void handle_progress(Address const& sender, wire::HostUse const&);
     void handle_leaving_list(wire::HostUse const&);
-    void heard_ended(wire::HostUse const&);
+    void handle_terminated_list(wire::HostUse const&);
 
     ServingContext& context;
     Observer observer;
