--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -62,7 +62,7 @@
     this->context.limit_changed = [this](Backend const& backend) { this->announce_limit(backend); };
     this->context.quarantine_changed
         = [this](RequestFingerprint const& request) { this->announce_request_termination(request); };
-    this->transport.on_message([this](wire::Envelope const& envelope) { this->heard(envelope); });
+    this->transport.on_message([this](wire::Envelope const& envelope) { this->handle_message(envelope); });
 }
 
 void PeerLink::start()
@@ -349,7 +349,7 @@
     this->transport.send(peers, std::move(envelope));
 }
 
-void PeerLink::heard(wire::Envelope const& envelope)
+void PeerLink::handle_message(wire::Envelope const& envelope)
 {
     Address const sender(envelope.sender_address());
     if (envelope.has_host_use()) {
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -89,7 +89,7 @@
     void send(std::span<Address const> peers, wire::HostUse);
     void send(std::span<Address const> peers, wire::PlatformNews);
     void handle_fetch(Address const& peer, wire::NewsFetch const&);
-    void heard(wire::Envelope const&);
+    void handle_message(wire::Envelope const&);
     void handle_host_message(Address const& sender, std::string const& name, wire::HostUse const&);
     void handle_domain_message(Address const& sender, wire::HostUse const&);
     void handle_progress(Address const& sender, wire::HostUse const&);
