--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -49,7 +49,7 @@
     : context(context)
     , observer(std::move(observer))
     , transport(context.loop, context.metrics, context.settings.host, context.settings.peer_listen)
-    , whole_timer(context.loop)
+    , full_state_timer(context.loop)
     , digest_timer(context.loop)
     , change_timer(context.loop)
     , domain_change_timer(context.loop)
@@ -220,8 +220,8 @@
 
 void PeerLink::schedule_full_state()
 {
-    this->whole_timer.expires_after(this->period());
-    this->whole_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
+    this->full_state_timer.expires_after(this->period());
+    this->full_state_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
         if (error)
             return;
         for (auto const& name : this->use.forget_silent(this->context.backends, this->context.now()))
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -99,7 +99,7 @@
     ServingContext& context;
     Observer observer;
     Wire::DatagramTransport transport;
-    AK::Timer whole_timer;
+    AK::Timer full_state_timer;
     AK::Timer digest_timer;
     AK::Timer change_timer;
     AK::Timer domain_change_timer;
