--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -51,7 +51,7 @@
     , transport(context.loop, context.metrics, context.settings.host, context.settings.peer_listen)
     , full_state_timer(context.loop)
     , digest_timer(context.loop)
-    , change_timer(context.loop)
+    , delta_timer(context.loop)
     , domain_change_timer(context.loop)
 {
     this->transport.announce_as(context.settings.peer_address);
@@ -266,8 +266,8 @@
     this->schedule_domain_delta();
     if (std::exchange(this->changes_wait, true))
         return;
-    this->change_timer.expires_after(change_delay);
-    this->change_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
+    this->delta_timer.expires_after(change_delay);
+    this->delta_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
         this->changes_wait = false;
         if (error)
             return;
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -101,7 +101,7 @@
     Wire::DatagramTransport transport;
     AK::Timer full_state_timer;
     AK::Timer digest_timer;
-    AK::Timer change_timer;
+    AK::Timer delta_timer;
     AK::Timer domain_change_timer;
     /// Of this host's failure domain.
     std::set<Address> peers;
