--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -52,7 +52,7 @@
     , full_state_timer(context.loop)
     , digest_timer(context.loop)
     , delta_timer(context.loop)
-    , domain_change_timer(context.loop)
+    , domain_delta_timer(context.loop)
 {
     this->transport.announce_as(context.settings.peer_address);
     this->context.use_changed = [this] { this->schedule_delta(); };
@@ -281,8 +281,8 @@
 {
     if (std::exchange(this->domain_changes_wait, true))
         return;
-    this->domain_change_timer.expires_after(this->domain_change_delay());
-    this->domain_change_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
+    this->domain_delta_timer.expires_after(this->domain_change_delay());
+    this->domain_delta_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
         this->domain_changes_wait = false;
         if (error || this->own_representative_rank() > 0)
             return;
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -102,7 +102,7 @@
     AK::Timer full_state_timer;
     AK::Timer digest_timer;
     AK::Timer delta_timer;
-    AK::Timer domain_change_timer;
+    AK::Timer domain_delta_timer;
     /// Of this host's failure domain.
     std::set<Address> peers;
     PeerUse use;
