--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -243,7 +243,7 @@
         if (error)
             return;
         if (this->own_representative_rank() < Reachability::representatives_per_domain) {
-            auto message = this->told_elsewhere.full_state(this->context.backends);
+            auto message = this->last_sent_to_domains.full_state(this->context.backends);
             this->complete_full_state(message, period);
             put_recent_rate_limits(message, this->context, LimitScope::All);
             this->send_to_remote_domains(std::move(message));
@@ -286,7 +286,7 @@
         this->domain_changes_wait = false;
         if (error || this->own_representative_rank() > 0)
             return;
-        if (auto changes = this->told_elsewhere.delta(this->context.backends))
+        if (auto changes = this->last_sent_to_domains.delta(this->context.backends))
             this->send_to_remote_domains(std::move(*changes));
     }));
 }
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -107,7 +107,7 @@
     std::set<Address> peers;
     PeerUse use;
     OwnUse told { UseScope::Host };
-    OwnUse told_elsewhere { UseScope::Domain };
+    OwnUse last_sent_to_domains { UseScope::Domain };
     u32 rounds { 0 };
     u64 messages_elsewhere { 0 };
     Instant avoided_told_since {};
