--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -106,7 +106,7 @@
     /// Of this host's failure domain.
     std::set<Address> peers;
     PeerUse use;
-    OwnUse told { UseScope::Host };
+    OwnUse last_sent_to_hosts { UseScope::Host };
     OwnUse last_sent_to_domains { UseScope::Domain };
     u32 rounds { 0 };
     u64 messages_elsewhere { 0 };
