--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -174,7 +174,8 @@
 {
     news.set_failure_domain(this->context.settings.failure_domain.value());
     this->send_through_relays(news, this->reachable_local_addresses());
-    this->send(this->context.reach.remote_receivers(++this->messages_elsewhere, this->context.now()), std::move(news));
+    this->send(
+        this->context.reach.remote_receivers(++this->remote_messages_sent, this->context.now()), std::move(news));
 }
 
 void PeerLink::fetch_updates(Address const& host, std::string const& table, u64 version)
@@ -321,7 +322,7 @@
     message.set_failure_domain(this->context.settings.failure_domain.value());
     message.set_domain_speaker(this->address().value());
     this->send(
-        this->context.reach.remote_receivers(++this->messages_elsewhere, this->context.now()), std::move(message));
+        this->context.reach.remote_receivers(++this->remote_messages_sent, this->context.now()), std::move(message));
 }
 
 void PeerLink::send_full_state(Address const& peer, bool wants_answer)
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -109,7 +109,7 @@
     OwnUse last_sent_to_hosts { UseScope::Host };
     OwnUse last_sent_to_domains { UseScope::Domain };
     u32 rounds { 0 };
-    u64 messages_elsewhere { 0 };
+    u64 remote_messages_sent { 0 };
     Instant avoided_told_since {};
     u32 avoided_told { 0 };
     bool changes_wait { false };
