--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -134,8 +134,8 @@
 void PeerLink::announce_unreachable(Backend const& backend, Duration avoided)
 {
     auto now = this->context.now();
-    if (now - this->avoided_told_since >= 1s) {
-        this->avoided_told_since = now;
+    if (now - this->unreachable_window_start >= 1s) {
+        this->unreachable_window_start = now;
         this->avoided_told = 0;
     }
     if (++this->avoided_told > most_avoided_told || this->context.reach.is_partitioned(now))
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -110,7 +110,7 @@
     OwnUse last_sent_to_domains { UseScope::Domain };
     u32 rounds { 0 };
     u64 remote_messages_sent { 0 };
-    Instant avoided_told_since {};
+    Instant unreachable_window_start {};
     u32 avoided_told { 0 };
     bool changes_wait { false };
     bool domain_changes_wait { false };
