--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -136,9 +136,9 @@
     auto now = this->context.now();
     if (now - this->unreachable_window_start >= 1s) {
         this->unreachable_window_start = now;
-        this->avoided_told = 0;
+        this->unreachable_announced = 0;
     }
-    if (++this->avoided_told > most_avoided_told || this->context.reach.is_partitioned(now))
+    if (++this->unreachable_announced > most_avoided_told || this->context.reach.is_partitioned(now))
         return;
     wire::HostUse message;
     auto& unreachable = *message.add_unreachable();
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -111,7 +111,7 @@
     u32 rounds { 0 };
     u64 remote_messages_sent { 0 };
     Instant unreachable_window_start {};
-    u32 avoided_told { 0 };
+    u32 unreachable_announced { 0 };
     bool changes_wait { false };
     bool domain_changes_wait { false };
     Core::HandlerGuard guard;
