--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -265,11 +265,11 @@
 void PeerLink::schedule_delta()
 {
     this->schedule_domain_delta();
-    if (std::exchange(this->changes_wait, true))
+    if (std::exchange(this->delta_pending, true))
         return;
     this->delta_timer.expires_after(change_delay);
     this->delta_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
-        this->changes_wait = false;
+        this->delta_pending = false;
         if (error)
             return;
         if (auto changes = this->last_sent_to_hosts.delta(this->context.backends))
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -112,7 +112,7 @@
     u64 remote_messages_sent { 0 };
     Instant unreachable_window_start {};
     u32 unreachable_announced { 0 };
-    bool changes_wait { false };
+    bool delta_pending { false };
     bool domain_changes_wait { false };
     Core::HandlerGuard guard;
 };
