--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -280,11 +280,11 @@
 /// Only the first speaker tells of changes; the second one's whole messages are enough until it takes over.
 void PeerLink::schedule_domain_delta()
 {
-    if (std::exchange(this->domain_changes_wait, true))
+    if (std::exchange(this->domain_delta_pending, true))
         return;
     this->domain_delta_timer.expires_after(this->domain_change_delay());
     this->domain_delta_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
-        this->domain_changes_wait = false;
+        this->domain_delta_pending = false;
         if (error || this->own_representative_rank() > 0)
             return;
         if (auto changes = this->last_sent_to_domains.delta(this->context.backends))
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -113,7 +113,7 @@
     Instant unreachable_window_start {};
     u32 unreachable_announced { 0 };
     bool delta_pending { false };
-    bool domain_changes_wait { false };
+    bool domain_delta_pending { false };
     Core::HandlerGuard guard;
 };
 
