--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -14,13 +14,13 @@
 #include <LibServing/HostDirectory.h>
 #include <LibServing/HostPlatform.h>
 #include <LibServing/LogRateLimiter.h>
-#include <LibServing/NewsExchange.h>
 #include <LibServing/OperatorTable.h>
 #include <LibServing/PeerLink.h>
 #include <LibServing/PlannedStop.h>
 #include <LibServing/QuarantineTable.h>
 #include <LibServing/RequestHandler.h>
 #include <LibServing/ServiceReachability.h>
+#include <LibServing/TableUpdateExchange.h>
 #include <boost/asio/signal_set.hpp>
 
 namespace Serving {
@@ -440,7 +440,7 @@
     typename P::Store backend_store;
     Platform::ChangeFollower<typename P::Store> configuration_follower;
     Platform::ChangeFollower<typename P::Store> backend_follower;
-    NewsExchange<typename P::Store> news;
+    TableUpdateExchange<typename P::Store> news;
     std::shared_ptr<Http::CallerContext> callers_context;
     std::optional<Http::CallerServer> callers;
     std::optional<Http::CallerServer> readiness;
--- a/Libraries/LibServing/NewsExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -16,12 +16,12 @@
 /// What hosts tell each other of the platform's tables, so that few of them ask the platform: who reads a change passes
 /// it on, who has missed one asks others for it, and the platform only when they do not answer.
 template<Platform::ChangeSource Store>
-class NewsExchange {
+class TableUpdateExchange {
 public:
     using Follower = Platform::ChangeFollower<Store>;
     using Followers = std::map<std::string, Follower*, std::less<>>;
 
-    NewsExchange(ServingContext& context, PeerLink& peers, BackendList& backends, Followers followers)
+    TableUpdateExchange(ServingContext& context, PeerLink& peers, BackendList& backends, Followers followers)
         : context(context)
         , peers(peers)
         , backends(backends)
