--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -7,9 +7,9 @@
 #pragma once
 
 #include <LibServing/BackendList.h>
-#include <LibServing/NewsLog.h>
 #include <LibServing/NewsRows.h>
 #include <LibServing/PeerLink.h>
+#include <LibServing/TableUpdateLog.h>
 
 namespace Serving {
 
@@ -121,7 +121,7 @@
     PeerLink& peers;
     BackendList& backends;
     Followers followers;
-    std::map<std::string, NewsLog> logs;
+    std::map<std::string, TableUpdateLog> logs;
     /// The host that last knew a change that this one did not.
     std::optional<Address> last_ahead;
 };
--- a/Libraries/LibServing/NewsLog.cpp
+++ b/Libraries/LibServing/TableUpdateLog.cpp
@@ -4,12 +4,12 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/NewsLog.h>
+#include <LibServing/TableUpdateLog.h>
 #include <algorithm>
 
 namespace Serving {
 
-void NewsLog::add(wire::PlatformNews news)
+void TableUpdateLog::add(wire::PlatformNews news)
 {
     // Who is to pass it on is for its first receiver only.
     news.clear_relay_to();
@@ -22,7 +22,7 @@
         this->kept.pop_front();
 }
 
-std::vector<wire::PlatformNews> NewsLog::since(u64 version) const
+std::vector<wire::PlatformNews> TableUpdateLog::since(u64 version) const
 {
     std::vector<wire::PlatformNews> following;
     auto known = version;
--- a/Libraries/LibServing/NewsLog.h
+++ b/Libraries/LibServing/TableUpdateLog.h
@@ -15,7 +15,7 @@
 
 /// The latest changes of one table of the platform as hosts tell them, kept for hosts that have missed some: each that
 /// asks another host saves a call of the platform.
-class NewsLog {
+class TableUpdateLog {
 public:
     /// Changes of some seconds when a sixth of 130 backend servers is replaced every three seconds.
     static constexpr size_t most_kept = 64;
--- a/Tests/LibServing/TestNewsLog.cpp
+++ b/Tests/LibServing/TestTableUpdateLog.cpp
@@ -4,10 +4,10 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/NewsLog.h>
+#include <LibServing/TableUpdateLog.h>
 #include <catch2/catch.hpp>
 
-using Serving::NewsLog;
+using Serving::TableUpdateLog;
 
 static wire::PlatformNews news(u64 previous, u64 version)
 {
@@ -28,7 +28,7 @@
 
 SCENARIO("hosts keep changes for others that have missed them")
 {
-    NewsLog log;
+    TableUpdateLog log;
     CHECK(log.since(0).empty());
     log.add(news(3, 10));
     // They may overtake each other, and come twice.
@@ -50,12 +50,12 @@
     }
     WHEN("many more come")
     {
-        for (u64 version = 20; version < 20 + NewsLog::most_kept; ++version)
+        for (u64 version = 20; version < 20 + TableUpdateLog::most_kept; ++version)
             log.add(news(version, version + 1));
         THEN("the oldest are let go")
         {
             CHECK(log.since(10).empty());
-            CHECK(log.since(21).size() == NewsLog::most_kept - 1);
+            CHECK(log.since(21).size() == TableUpdateLog::most_kept - 1);
         }
     }
 }
