--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -7,9 +7,9 @@
 #pragma once
 
 #include <LibServing/BackendList.h>
-#include <LibServing/NewsRows.h>
 #include <LibServing/PeerLink.h>
 #include <LibServing/TableUpdateLog.h>
+#include <LibServing/TableUpdateRows.h>
 
 namespace Serving {
 
--- a/Libraries/LibServing/NewsRows.cpp
+++ b/Libraries/LibServing/TableUpdateRows.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/NewsRows.h>
+#include <LibServing/TableUpdateRows.h>
 #include <Poco/DeflatingStream.h>
 #include <Poco/InflatingStream.h>
 #include <array>
--- a/Tests/LibServing/TestNewsRows.cpp
+++ b/Tests/LibServing/TestTableUpdateRows.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibServing/NewsRows.h>
+#include <LibServing/TableUpdateRows.h>
 #include <catch2/catch.hpp>
 
 using Platform::RowChange;
