--- a/Libraries/LibServing/BackendChooser.cpp
+++ b/Libraries/LibServing/BackendChooser.cpp
@@ -12,7 +12,7 @@
 
 /// An older load report says nothing about the present load, since most calls have ended by then.
 static constexpr Duration load_report_lifetime = 1s;
-/// Engines in use are polled several times in this period (EngineReporter). A report is half a second old when it
+/// Engines in use are polled several times in this period (EnginePoller). A report is half a second old when it
 /// arrives.
 static constexpr Duration engine_report_lifetime = 3s;
 // The costs below are fractions of a backend server's capacity.
--- a/Libraries/LibServing/EngineReporter.h
+++ b/Libraries/LibServing/EnginePoller.h
@@ -15,9 +15,9 @@
 
 /// Asks engines how they are: each one from time to time, and one that is leaving when it will end.
 template<Dialect D>
-class EngineReporter {
+class EnginePoller {
 public:
-    explicit EngineReporter(ServingContext& context)
+    explicit EnginePoller(ServingContext& context)
         : context(context)
         , timer(context.loop)
     {
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -10,7 +10,7 @@
 #include <LibHttp/CallerServer.h>
 #include <LibServing/AllowanceShare.h>
 #include <LibServing/BackendList.h>
-#include <LibServing/EngineReporter.h>
+#include <LibServing/EnginePoller.h>
 #include <LibServing/HostDirectory.h>
 #include <LibServing/HostPlatform.h>
 #include <LibServing/LogRateLimiter.h>
@@ -428,7 +428,7 @@
     Reload reload;
     ServingContext context;
     RequestHandler<typename P::Dialect> request_handler;
-    EngineReporter<typename P::Dialect> reporter;
+    EnginePoller<typename P::Dialect> reporter;
     PeerLink peers;
     BackendList backends;
     OperatorTable<P> operator_table;
--- a/Meta/lint.sh
+++ b/Meta/lint.sh
@@ -14,7 +14,7 @@
     echo "members carry no mark" && exit 1
 fi
 # Whoever sends to backend servers asks first whether the one it sends to wants work now.
-senders='^Libraries/LibServing/(EngineReporter|Generation|GenerationMove|ServiceCall)\.h$'
+senders='^Libraries/LibServing/(EnginePoller|Generation|GenerationMove|ServiceCall)\.h$'
 others=$(grep -lE 'connections\.(acquire|make_new)\(' "${files[@]}" | grep -E '^(Libraries|platform)/' | grep -vE "$senders" || true)
 if [[ -n $others ]]; then
     echo "$others: sends to backend servers; ask Backend::takes_work_at first, then add it to the senders in Meta/lint.sh"
