--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -193,7 +193,8 @@
         };
         observer.changed
             = [this](std::vector<Platform::RowChange> const& changes, u64) { this->operator_table.changed(changes); };
-        observer.fetched = [this](Platform::TableUpdate const& news) { this->news.tell(P::configuration_table, news); };
+        observer.fetched
+            = [this](Platform::TableUpdate const& news) { this->news.announce(P::configuration_table, news); };
         observer.missed = [this](u64 version) { this->news.ask_others(P::configuration_table, version); };
         return observer;
     }
@@ -215,7 +216,7 @@
             for (auto const& change : changes)
                 this->apply_backend(change);
         };
-        observer.fetched = [this](Platform::TableUpdate const& news) { this->news.tell(P::backend_table, news); };
+        observer.fetched = [this](Platform::TableUpdate const& news) { this->news.announce(P::backend_table, news); };
         observer.missed = [this](u64 version) { this->news.ask_others(P::backend_table, version); };
         observer.may_retry = [this] { return this->configuration_follower.is_reachable(); };
         return observer;
