--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -237,7 +237,7 @@
             this->news.handle_update(news, is_local_sender);
         };
         observer.progress_received = [this](std::string const& table, u64 last_change, Address const& host) {
-            this->news.hear_progress(table, last_change, host);
+            this->news.handle_progress(table, last_change, host);
         };
         observer.updates_since
             = [this](std::string const& table, u64 version) { return this->news.since(table, version); };
