--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -32,7 +32,7 @@
     /// This host has read changes of a table. One host of the domain passes them on. A further one that reads too is
     /// there for when that one fails: until it takes over, the others learn from whole messages that they have missed
     /// something.
-    void tell(std::string_view table, Platform::TableUpdate const& news)
+    void announce(std::string_view table, Platform::TableUpdate const& news)
     {
         wire::PlatformNews message;
         message.set_table(std::string(table));
