--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -46,7 +46,7 @@
     }
 
     /// Another host has read changes, or passes on those that a third one has read.
-    void hear(wire::PlatformNews const& message, bool is_local_sender)
+    void handle_update(wire::PlatformNews const& message, bool is_local_sender)
     {
         auto* follower = this->follower_of(message.table());
         if (!follower)
