--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -74,7 +74,7 @@
     }
 
     /// `host` knows a change of this version of a table.
-    void hear_progress(std::string const& table, u64 last_change, Address const& host)
+    void handle_progress(std::string const& table, u64 last_change, Address const& host)
     {
         auto* follower = this->follower_of(table);
         if (!follower || last_change <= follower->version())
