--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -195,7 +195,7 @@
             = [this](std::vector<Platform::RowChange> const& changes, u64) { this->operator_table.changed(changes); };
         observer.fetched
             = [this](Platform::TableUpdate const& news) { this->news.announce(P::configuration_table, news); };
-        observer.missed = [this](u64 version) { this->news.ask_others(P::configuration_table, version); };
+        observer.missed = [this](u64 version) { this->news.fetch_from_peers(P::configuration_table, version); };
         return observer;
     }
 
@@ -217,7 +217,7 @@
                 this->apply_backend(change);
         };
         observer.fetched = [this](Platform::TableUpdate const& news) { this->news.announce(P::backend_table, news); };
-        observer.missed = [this](u64 version) { this->news.ask_others(P::backend_table, version); };
+        observer.missed = [this](u64 version) { this->news.fetch_from_peers(P::backend_table, version); };
         observer.may_retry = [this] { return this->configuration_follower.is_reachable(); };
         return observer;
     }
--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -84,7 +84,7 @@
     }
 
     /// Changes that other hosts know have not come: the one that said so last is asked for them.
-    void ask_others(std::string_view table, u64 version)
+    void fetch_from_peers(std::string_view table, u64 version)
     {
         if (this->last_ahead)
             this->peers.fetch_updates(*this->last_ahead, std::string(table), version);
