--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -39,7 +39,7 @@
         message.set_previous_change(news.previous_change);
         message.set_version(news.page.version);
         message.set_recovery_left_milliseconds(static_cast<u32>(AK::to_milliseconds(this->backends.recovery_left())));
-        put_rows(message, news.page.changes, most_news_bytes);
+        put_rows(message, news.page.changes, max_update_bytes);
         this->logs[message.table()].add(message);
         if (this->context.reach.is_primary_reader(this->peers.address(), this->context.now()))
             this->peers.announce_update(std::move(message));
@@ -109,7 +109,7 @@
 private:
     /// Larger news are read from the platform. Sent to a relay's receivers, 100 ms of a link of 10 Mbit/s; a
     /// configuration of 45 routes is 2.2 KB when packed.
-    static constexpr size_t most_news_bytes = 16 << 10;
+    static constexpr size_t max_update_bytes = 16 << 10;
 
     Follower* follower_of(std::string_view table) const
     {
