--- a/Libraries/LibServing/TableUpdateLog.cpp
+++ b/Libraries/LibServing/TableUpdateLog.cpp
@@ -18,7 +18,7 @@
     if (place != this->kept.end() && place->version() == news.version())
         return;
     this->kept.insert(place, std::move(news));
-    if (this->kept.size() > most_kept)
+    if (this->kept.size() > max_kept)
         this->kept.pop_front();
 }
 
--- a/Libraries/LibServing/TableUpdateLog.h
+++ b/Libraries/LibServing/TableUpdateLog.h
@@ -18,7 +18,7 @@
 class TableUpdateLog {
 public:
     /// Changes of some seconds when a sixth of 130 backend servers is replaced every three seconds.
-    static constexpr size_t most_kept = 64;
+    static constexpr size_t max_kept = 64;
 
     void add(wire::PlatformNews);
     /// What follows `version` without a gap, in order; nothing when that is not kept any more.
--- a/Tests/LibServing/TestTableUpdateLog.cpp
+++ b/Tests/LibServing/TestTableUpdateLog.cpp
@@ -50,12 +50,12 @@
     }
     WHEN("many more come")
     {
-        for (u64 version = 20; version < 20 + TableUpdateLog::most_kept; ++version)
+        for (u64 version = 20; version < 20 + TableUpdateLog::max_kept; ++version)
             log.add(news(version, version + 1));
         THEN("the oldest are let go")
         {
             CHECK(log.since(10).empty());
-            CHECK(log.since(21).size() == TableUpdateLog::most_kept - 1);
+            CHECK(log.since(21).size() == TableUpdateLog::max_kept - 1);
         }
     }
 }
