--- a/Libraries/LibServing/EnginePoller.h
+++ b/Libraries/LibServing/EnginePoller.h
@@ -25,7 +25,7 @@
 
     void start() { this->schedule(); }
 
-    void engine_leaves(BackendPointer const& backend)
+    void handle_engine_leaving(BackendPointer const& backend)
     {
         if (this->is_engine(*backend) && backend->engine.own_generations > 0)
             this->ask(backend);
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -43,7 +43,7 @@
         , peers(this->context, this->make_peer_observer())
         , backends(this->context,
               { [this](BackendPointer const& backend) { this->peers.backend_appeared(*backend); },
-                  [this](BackendPointer const& backend) { this->reporter.engine_leaves(backend); } })
+                  [this](BackendPointer const& backend) { this->reporter.handle_engine_leaving(backend); } })
         , operator_table(this->context,
               { [this] { this->callers_context->limits = this->context.routing->limits(); },
                   [this](Platform::Row const& row, Error const& error) { this->reject_row(row, error); } })
