--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -233,7 +233,7 @@
         observer.backend_terminated = [this](EngineId const& id, ServerStart start, Address const& address) {
             this->backends.handle_termination(id, start, address);
         };
-        observer.news = [this](wire::PlatformNews const& news, bool is_local_sender) {
+        observer.update_received = [this](wire::PlatformNews const& news, bool is_local_sender) {
             this->news.handle_update(news, is_local_sender);
         };
         observer.progress_received = [this](std::string const& table, u64 last_change, Address const& host) {
