--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -63,9 +63,9 @@
         known = nullptr;
     }
     // The process that had the id before has ended: there is nothing more to ask it.
-    if (auto former = this->departed.find(server.id);
-        former != this->departed.end() && former->second.backend->server.start < server.start)
-        this->departed.erase(former);
+    if (auto former = this->recently_removed.find(server.id);
+        former != this->recently_removed.end() && former->second.backend->server.start < server.start)
+        this->recently_removed.erase(former);
     if (!known) {
         known = std::make_shared<Backend>();
         known->available_since = now;
@@ -95,7 +95,7 @@
     std::erase(this->by_service[entry->server.service], entry);
     this->by_id.erase(found);
     this->keep_reported_state(*entry, now);
-    this->departed[id] = { entry, now };
+    this->recently_removed[id] = { entry, now };
     return entry;
 }
 
@@ -147,17 +147,17 @@
 {
     if (auto listed = this->find(id))
         return listed;
-    auto found = this->departed.find(id);
-    return found == this->departed.end() ? nullptr : found->second.backend;
+    auto found = this->recently_removed.find(id);
+    return found == this->recently_removed.end() ? nullptr : found->second.backend;
 }
 
 std::vector<BackendPointer> BackendTable::running() const
 {
     std::vector<BackendPointer> all;
-    all.reserve(this->by_id.size() + this->departed.size());
+    all.reserve(this->by_id.size() + this->recently_removed.size());
     for (auto const& [id, backend] : this->by_id)
         all.push_back(backend);
-    for (auto const& [id, entry] : this->departed) {
+    for (auto const& [id, entry] : this->recently_removed) {
         if (!this->by_id.contains(id))
             all.push_back(entry.backend);
     }
@@ -166,8 +166,8 @@
 
 void BackendTable::expire_removed(Instant now)
 {
-    std::erase_if(
-        this->departed, [now](auto const& entry) { return now - entry.second.at > longest_run_after_departure; });
+    std::erase_if(this->recently_removed,
+        [now](auto const& entry) { return now - entry.second.at > longest_run_after_departure; });
     std::erase_if(this->reported_states, [now](auto const& entry) { return entry.second.kept_until <= now; });
 }
 
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -194,7 +194,7 @@
 
     std::set<FailureDomainId> evacuated;
     std::unordered_map<EngineId, BackendPointer> by_id;
-    std::unordered_map<EngineId, RemovedBackend> departed;
+    std::unordered_map<EngineId, RemovedBackend> recently_removed;
     std::unordered_map<EngineId, ReportedState> reported_states;
     std::unordered_map<ServiceName, std::vector<BackendPointer>> by_service;
 };
