--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -16,7 +16,7 @@
 static constexpr double newest_request_weight = 0.05;
 /// How long a backend server is avoided after one failed connection; doubles with each further one.
 static constexpr Duration initial_avoidance = 250ms;
-static constexpr Duration longest_avoidance = 2s;
+static constexpr Duration max_avoidance = 2s;
 /// Failed answers in a row before a reachable backend server is avoided as well.
 static constexpr u32 tolerated_failures_in_a_row = 3;
 
@@ -246,7 +246,7 @@
         : 0;
     if (counted == 0)
         return 0s;
-    auto avoidance = std::min(longest_avoidance, initial_avoidance * (1 << std::min(counted - 1, 4U)));
+    auto avoidance = std::min(max_avoidance, initial_avoidance * (1 << std::min(counted - 1, 4U)));
     health.avoid_until = now + avoidance;
     return avoidance;
 }
