--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -21,7 +21,7 @@
 static constexpr u32 tolerated_failures_in_a_row = 3;
 
 /// One host that cannot connect may itself be cut off; two that cannot are believed.
-static constexpr i64 hosts_that_are_believed = 2;
+static constexpr i64 min_reporting_hosts = 2;
 
 /// A backend server may go off the list without a word and run on for about as long as one that announces its end, and
 /// at times some seconds more.
@@ -208,7 +208,7 @@
         return true;
     auto others
         = std::ranges::count_if(this->health.peer_avoidance, [now](auto const& told) { return now < told.second; });
-    return others >= hosts_that_are_believed;
+    return others >= min_reporting_hosts;
 }
 
 std::optional<Duration> min_back_off(std::span<BackendPointer const> candidates, Instant now)
