--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -25,7 +25,7 @@
 
 /// A backend server may go off the list without a word and run on for about as long as one that announces its end, and
 /// at times some seconds more.
-static constexpr Duration longest_run_after_departure = 5s;
+static constexpr Duration max_run_time_after_removal = 5s;
 
 /// For how long a process that has said that it leaves can be about to end, though it is off the list.
 static constexpr Duration leaving_kept_for = 1h;
@@ -167,7 +167,7 @@
 void BackendTable::expire_removed(Instant now)
 {
     std::erase_if(this->recently_removed,
-        [now](auto const& entry) { return now - entry.second.at > longest_run_after_departure; });
+        [now](auto const& entry) { return now - entry.second.at > max_run_time_after_removal; });
     std::erase_if(this->reported_states, [now](auto const& entry) { return entry.second.kept_until <= now; });
 }
 
