--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -28,7 +28,7 @@
 static constexpr Duration max_run_time_after_removal = 5s;
 
 /// For how long a process that has said that it leaves can be about to end, though it is off the list.
-static constexpr Duration leaving_kept_for = 1h;
+static constexpr Duration leaving_retention = 1h;
 
 std::string_view to_string(Availability availability)
 {
@@ -103,7 +103,7 @@
 {
     auto kept_until = backend.back_off_until;
     if (backend.has_announced_leaving)
-        kept_until = std::max(kept_until, now + leaving_kept_for);
+        kept_until = std::max(kept_until, now + leaving_retention);
     if (now < kept_until)
         this->reported_states[backend.server.id]
             = { backend.server.start, backend.back_off_until, backend.has_announced_leaving, kept_until };
