--- a/Meta/ablate.py
+++ b/Meta/ablate.py
@@ -20,7 +20,7 @@
         (SERVING + "GenerationMove.h", "&& this->chosen->engine.incoming_tokens() == 0", ""),
         (SERVING + "BackendChooser.cpp", "copy_wait_cost = 0.5", "copy_wait_cost = 0")]),
     "departed-engines": ("engines off the list are not asked for their end, and nothing is told of them", [
-        (SERVING + "BackendTable.cpp", "this->departed[id] = { entry, now };", "(void)now;")]),
+        (SERVING + "BackendTable.cpp", "this->recently_removed[id] = { entry, now };", "(void)now;")]),
     "largest-first": ("copies of small generations do not wait for large ones", [
         (SERVING + "GenerationMove.h", "(1 - share) * AK::to_seconds(max_start_delay)", "(share - share)")]),
     "shares": ("hosts do not use what others say they have at engines", [
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -165,7 +165,7 @@
 
 guard "an engine off the list is asked for its end" TestPlatform \
     "Scenario: an engine that is removed from the list without notice is polled until it reports when it terminates" \
-    Libraries/LibServing/BackendTable.cpp "this->departed[id] = { entry, now };" "(void)now;"
+    Libraries/LibServing/BackendTable.cpp "this->recently_removed[id] = { entry, now };" "(void)now;"
 guard "copies are spread over links" TestLibServing \
     "Scenario: engines that leave together spread their generations over the links of those that stay" \
     Libraries/LibServing/BackendChooser.cpp "copy_wait_cost = 0.5" "copy_wait_cost = 0"
