--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -11,23 +11,24 @@
 
 namespace Serving {
 
-/// Weight of the newest request in the moving share of failures: some twenty requests count, about two seconds of one
-/// backend server's share on a host.
+/// Weight of the newest request in the moving average of failures: the average covers about twenty requests, which a
+/// host sends to one backend server in about two seconds.
 static constexpr double newest_request_weight = 0.05;
-/// How long a backend server is avoided after one failed connection; doubles with each further one.
+/// How long a backend server is avoided after one failed connection; doubles with each further failure.
 static constexpr Duration initial_avoidance = 250ms;
 static constexpr Duration max_avoidance = 2s;
-/// Failed answers in a row before a reachable backend server is avoided as well.
-static constexpr u32 tolerated_failures_in_a_row = 3;
+/// Consecutive failed responses after which a reachable backend server is avoided as well.
+static constexpr u32 max_tolerated_failures = 3;
 
-/// One host that cannot connect may itself be cut off; two that cannot are believed.
+/// Number of hosts that must report failed connections before a backend server is avoided: a single host may itself be
+/// partitioned.
 static constexpr i64 min_reporting_hosts = 2;
 
-/// A backend server may go off the list without a word and run on for about as long as one that announces its end, and
-/// at times some seconds more.
+/// A backend server may be removed from the list without notice. It then keeps running for about as long as one that
+/// announces that it is leaving, and sometimes for some seconds more.
 static constexpr Duration max_run_time_after_removal = 5s;
 
-/// For how long a process that has said that it leaves can be about to end, though it is off the list.
+/// How long a process that has announced that it is leaving may still run after its removal from the list.
 static constexpr Duration leaving_retention = 1h;
 
 std::string_view to_string(Availability availability)
@@ -43,26 +44,26 @@
     VERIFY(false);
 }
 
-BackendPointer BackendTable::update(BackendServer const& told, Instant now)
+BackendPointer BackendTable::update(BackendServer const& entry, Instant now)
 {
-    auto endpoint = Http::parse_endpoint(told.address.value());
+    auto endpoint = Http::parse_endpoint(entry.address.value());
     if (!endpoint)
         return nullptr;
-    auto server = told;
+    auto server = entry;
     auto known = this->find(server.id);
-    // An entry that does not tell its start is about the one that is known: it may say that this one leaves.
+    // An entry without a start refers to the known start, and may mark it as leaving.
     if (known && server.start == ServerStart(0))
         server.start = known->server.start;
     if (server.start < this->latest_start_of(server.id))
         return nullptr;
     if (known && known->server == server)
         return nullptr;
-    bool const is_another = known && (known->server.service != server.service || known->server.start < server.start);
-    if (is_another) {
+    bool const is_replaced = known && (known->server.service != server.service || known->server.start < server.start);
+    if (is_replaced) {
         this->remove(server.id, now);
         known = nullptr;
     }
-    // The process that had the id before has ended: there is nothing more to ask it.
+    // The earlier process with this id has terminated and need not be polled any more.
     if (auto former = this->recently_removed.find(server.id);
         former != this->recently_removed.end() && former->second.backend->server.start < server.start)
         this->recently_removed.erase(former);
@@ -72,14 +73,14 @@
         this->by_id[server.id] = known;
         this->by_service[server.service].push_back(known);
     }
-    // Elsewhere it may live on.
+    // At another address the server may still be running.
     known->has_terminated = known->has_terminated && known->server.address == server.address;
     known->server = server;
     known->endpoint = *endpoint;
     known->cold_until = now + server.warm_up_left;
     known->is_evacuated = this->evacuated.contains(server.failure_domain);
     this->restore_reported_state(*known);
-    // Leaving is final: a list that is behind must not bring a backend server back.
+    // Leaving is final: an outdated list must not make the backend server available again.
     if (server.is_leaving && known->availability == Availability::Serving)
         known->availability = Availability::Leaving;
     return known;
@@ -194,7 +195,7 @@
 
 void Backend::notify_termination()
 {
-    // Observers may begin to observe this or another backend server.
+    // An observer may register further observers with this or another backend server.
     auto const observers = std::exchange(this->termination_observers, {});
     for (auto const& observer : observers) {
         if (auto held = observer.lock())
@@ -206,9 +207,9 @@
 {
     if (now < this->health.avoid_until || now < this->health.refusal_avoidance_until)
         return true;
-    auto others
-        = std::ranges::count_if(this->health.peer_avoidance, [now](auto const& told) { return now < told.second; });
-    return others >= min_reporting_hosts;
+    auto reporting_hosts
+        = std::ranges::count_if(this->health.peer_avoidance, [now](auto const& report) { return now < report.second; });
+    return reporting_hosts >= min_reporting_hosts;
 }
 
 std::optional<Duration> min_back_off(std::span<BackendPointer const> candidates, Instant now)
@@ -240,10 +241,9 @@
     ++health.consecutive_failures;
     if (is_unreachable)
         health.unreachable_at = now;
-    auto counted = is_unreachable ? health.consecutive_failures
-        : health.consecutive_failures > tolerated_failures_in_a_row
-        ? health.consecutive_failures - tolerated_failures_in_a_row
-        : 0;
+    auto counted = is_unreachable                              ? health.consecutive_failures
+        : health.consecutive_failures > max_tolerated_failures ? health.consecutive_failures - max_tolerated_failures
+                                                               : 0;
     if (counted == 0)
         return 0s;
     auto avoidance = std::min(max_avoidance, initial_avoidance * (1 << std::min(counted - 1, 4U)));
--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -20,17 +20,18 @@
 
 namespace Serving {
 
-/// What may be given to a backend server.
+/// Whether a backend server accepts new work.
 enum class Availability : u8 {
     Serving,
-    /// Takes no new work; what runs there goes on until it ends.
+    /// Accepts no new work. Running requests continue until they finish or the process terminates.
     Leaving,
+    /// Removed from the platform's list.
     Gone,
 };
 
 std::string_view to_string(Availability);
 
-/// A backend server as it describes itself to the platform.
+/// The description of a backend server that it registers with the platform.
 struct BackendServer {
     EngineId id;
     ServerStart start;
@@ -39,89 +40,93 @@
     FailureDomainId failure_domain;
     u32 slots { 1 };
     bool is_leaving { false };
-    /// How much longer it is cold, after its start or because it has become so again.
+    /// Remaining warm-up time, after the start or after the server has become cold again.
     Duration warm_up_left { 0 };
 
     bool operator==(BackendServer const&) const = default;
 };
 
-/// Requests in a second.
+/// Requests per second.
 using RequestRate = AK::StrongType<struct RequestRateTag, double>;
 
-/// Requests at a backend server, by its own word.
+/// The number of requests at a backend server, as reported by that server.
 struct LoadReport {
     u32 running { 0 };
     u32 waiting { 0 };
     u32 slots { 0 };
 };
 
-/// What requests have shown of a backend server.
+/// The health of a backend server, derived from the results of requests.
 struct Health {
-    /// Share of the latest requests that failed by its fault, as a moving average.
+    /// Moving average of the share of requests that failed because of the server.
     double failure_share { 0 };
     u32 consecutive_failures { 0 };
     Instant avoid_until {};
-    /// When the last connection could not be made; nothing after a success.
+    /// Time of the last failed connection attempt; empty after a success.
     std::optional<Instant> unreachable_at;
-    /// Answers that it had not run a request, its own or to other hosts, since its last success here.
+    /// Refusals (responses saying that a request was not run) to this host or to others since this host's last success.
     u32 consecutive_refusals { 0 };
-    /// Until when it is avoided for them.
+    /// The server is avoided until this time because of its refusals.
     Instant refusal_avoidance_until {};
-    /// Until when other hosts avoid it, because they could not connect to it.
+    /// For each host that could not connect to the server: the time until which that host avoids it.
     std::map<MemberId, Instant> peer_avoidance;
 };
 
-/// One backend server and what this host believes of it. Flows keep it alive past its removal.
+/// A backend server and this host's view of its state. Flows keep the object alive after its removal from the table.
 struct Backend {
     BackendServer server;
     Http::tcp::endpoint endpoint;
     Availability availability { Availability::Serving };
     Instant available_since {};
-    /// When the process ends, as far as it is known.
+    /// Expected termination time of the process, if known.
     std::optional<Instant> ends_at;
-    /// Its entry in the platform's list cannot be used just now. What runs there goes on; nothing new is given to it.
+    /// The entry in the platform's list is currently invalid. Running requests continue, but the server gets no new
+    /// work.
     bool has_unusable_entry { false };
-    /// Another process answers where it was, so its own has ended, though the platform still lists it.
+    /// Another process responds at the server's address, so the server's process has terminated although the platform
+    /// still lists it.
     bool has_terminated { false };
-    /// The operator wants nothing sent to its failure domain. What runs there goes on.
+    /// The operator has evacuated the server's failure domain. Running requests continue.
     bool is_evacuated { false };
     u32 in_flight { 0 };
-    /// Until when it is cold and bears but few requests, by its own last word.
+    /// End of the warm-up time that the server last reported. Until then it can handle only few requests.
     Instant cold_until {};
-    /// Requests of this host, for as long as bounds of the server need them.
+    /// Requests that this host has sent, kept for as long as the server's limits need them.
     RecentCount sent;
     std::optional<LoadReport> load;
     Instant load_received_at {};
-    /// What it takes from all hosts together, by its own last word; nothing while it names no limit.
+    /// The rate that the server accepts from all hosts together, as it last reported; empty if it reported no limit.
     std::optional<RequestRate> limit;
-    /// When it said so, to this host or another one; nothing if it has never named one.
+    /// When the server reported the limit, to this host or to another one; empty if it has never reported one.
     std::optional<Instant> limit_reported_at;
-    /// Whether it said so to this host.
+    /// Whether the server reported the limit to this host.
     bool limit_is_first_hand { false };
+    /// When this host last announced the limit to the other hosts.
     Instant limit_announced_at {};
-    /// Until when it wants no requests of this host; the latest end that it has asked for.
+    /// End of the back-off that the server has requested from this host; the latest one if there were several.
     Instant back_off_until {};
-    /// Its process has said itself that it leaves, to this host or another one: no later word takes that back.
+    /// The server's process has announced, to this host or to another one, that it is leaving. This is final.
     bool has_announced_leaving { false };
     Health health;
     EngineLoad engine;
 
-    /// Whether new work may be given to it at all.
+    /// Whether new work may be sent to the server, apart from a back-off.
     [[nodiscard]] bool takes_work() const
     {
         return this->availability == Availability::Serving && !this->has_unusable_entry && !this->has_terminated
             && !this->is_evacuated;
     }
-    /// Whether new work may be sent to it now.
+    /// Whether new work may be sent to the server at `now`.
     [[nodiscard]] bool takes_work_at(Instant now) const { return this->takes_work() && now >= this->back_off_until; }
     [[nodiscard]] Duration cold_left(Instant now) const { return std::max<Duration>(0s, this->cold_until - now); }
     [[nodiscard]] Duration back_off_left(Instant now) const
     {
         return std::max<Duration>(0s, this->back_off_until - now);
     }
-    /// By what this host has seen itself, or by the word of several others.
+    /// Whether the server is avoided, because of this host's own failures or because several other hosts report that
+    /// they cannot connect.
     [[nodiscard]] bool is_avoided(Instant now) const;
-    /// Whether word of the server that started then is about this one. Who does not know the start means any.
+    /// Whether a message about the given start applies to this server. An unknown start (0) matches every start.
     [[nodiscard]] bool matches_start(ServerStart start) const
     {
         return start == this->server.start || start == ServerStart(0) || this->server.start == ServerStart(0);
@@ -134,9 +139,10 @@
             this->availability = Availability::Leaving;
     }
 
-    /// Told when this process is known to have ended because a later one has its id: what it had under way is lost.
+    /// Called when a later process with the same id proves that this process has terminated: its running requests are
+    /// lost.
     using TerminationObserver = std::function<void()>;
-    /// The observer is forgotten with the token that is answered.
+    /// The observer is registered for as long as the returned token lives.
     [[nodiscard]] std::shared_ptr<TerminationObserver> observe_termination(TerminationObserver);
     void notify_termination();
 
@@ -146,32 +152,32 @@
 
 using BackendPointer = std::shared_ptr<Backend>;
 
-/// The backend servers that this host knows, by service.
+/// The backend servers known to this host, indexed by id and by service.
 class BackendTable {
 public:
-    /// Takes in what the platform says of one; answers what changed, or null when nothing did, when its address cannot
-    /// be read, or when a later start under its id is known. A later start takes the place of the former one, which is
-    /// gone; nothing that was believed of that one holds for it.
+    /// Applies an entry of the platform's list. Returns the changed backend server, or null if nothing changed, if the
+    /// address is invalid, or if a later start with this id is known. A later start replaces the earlier one and does
+    /// not inherit any of its state.
     BackendPointer update(BackendServer const&, Instant now);
-    /// It is off the list. Answers the entry if it was known.
+    /// Removes a backend server that is no longer on the list. Returns it if it was known.
     BackendPointer remove(EngineId const&, Instant now);
 
-    /// Keeps what one that is off the list has said of itself, for its entry may come back.
+    /// Saves the state that a removed backend server has reported itself, since its entry may be added again.
     void keep_reported_state(Backend const&, Instant now);
 
-    /// Whether the operator wants nothing sent to the backend servers of a failure domain, those that are still to come
-    /// among them.
+    /// Marks the current and future backend servers of a failure domain as evacuated by the operator, or clears the
+    /// mark.
     void set_evacuated(FailureDomainId const&, bool is_evacuated);
-    /// Backend servers on the list that are in this failure domain.
+    /// Number of listed backend servers in this failure domain.
     [[nodiscard]] size_t count_in(FailureDomainId const&) const;
 
-    /// Null when it is not on the list.
+    /// Returns null if the id is not on the list.
     [[nodiscard]] BackendPointer find(EngineId const&) const;
-    /// On the list, or off it so lately that it may still run. Null for others.
+    /// Returns a backend server that is on the list or was removed so recently that it may still run; null otherwise.
     [[nodiscard]] BackendPointer find_running(EngineId const&) const;
-    /// All of those.
+    /// All backend servers that `find_running` can return.
     [[nodiscard]] std::vector<BackendPointer> running() const;
-    /// Lets go of those that cannot run any more.
+    /// Drops removed backend servers that can no longer be running, and expired reported states.
     void expire_removed(Instant now);
     [[nodiscard]] std::vector<BackendPointer> const& of_service(ServiceName const&) const;
     [[nodiscard]] std::unordered_map<EngineId, BackendPointer> const& all() const { return this->by_id; }
@@ -183,7 +189,7 @@
         BackendPointer backend;
         Instant at {};
     };
-    /// What a process has said of itself. It holds though its entry comes and goes.
+    /// The state that a process has reported itself. It outlives the process's entry in the list.
     struct ReportedState {
         ServerStart start;
         Instant back_off_until {};
@@ -199,12 +205,12 @@
     std::unordered_map<ServiceName, std::vector<BackendPointer>> by_service;
 };
 
-/// Until the first of those that would take work has no more back-off asked for; nothing when none has asked.
+/// The shortest remaining back-off among the candidates that accept work; empty if none has requested a back-off.
 std::optional<Duration> min_back_off(std::span<BackendPointer const>, Instant now);
 
 void record_success(Backend&);
-/// `is_unreachable` when no request could be handed over, which says more than one failed answer. Answers for how
-/// long the backend server is avoided.
+/// Records a failed request. `is_unreachable` means that the request could not be sent at all, which weighs more than a
+/// failed response. Returns how long the backend server is avoided.
 Duration record_failure(Backend&, Instant now, bool is_unreachable);
 
 }
