--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -61,7 +61,7 @@
     bool const begins_to_leave = backend->availability == Availability::Leaving && (was_serving || is_new);
     if (begins_to_leave) {
         backend->available_since = now;
-        this->observer.leaving(backend);
+        this->observer.on_leaving(backend);
     }
 }
 
@@ -100,7 +100,7 @@
     this->context.log.event(Core::EventNumber::BackendServerChanged, id.value())
         .with("state", to_string(backend->availability))
         .with("heard_from", "another host or itself");
-    this->observer.leaving(backend);
+    this->observer.on_leaving(backend);
 }
 
 void BackendList::handle_removal(EngineId const& id)
@@ -123,7 +123,7 @@
     // It may go on running for as long as one that says that it leaves; what runs there is moved all the same.
     if (!backend->ends_at)
         backend->available_since = now;
-    this->observer.leaving(backend);
+    this->observer.on_leaving(backend);
 }
 
 void BackendList::handle_platform_recovery(Duration recovery)
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -19,7 +19,7 @@
     struct Observer {
         std::function<void(BackendPointer const&)> added;
         /// It says that it leaves, or is off the list.
-        std::function<void(BackendPointer const&)> leaving;
+        std::function<void(BackendPointer const&)> on_leaving;
     };
 
     BackendList(ServingContext& context, Observer observer);
