--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -47,7 +47,7 @@
     backend->has_unusable_entry = false;
     bool const is_new = backend != before;
     if (is_new)
-        this->observer.added(backend);
+        this->observer.on_added(backend);
     this->context.log.event(Core::EventNumber::BackendServerChanged, server.id.value())
         .with("state", to_string(backend->availability))
         .with("service", server.service)
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -17,7 +17,7 @@
 class BackendList {
 public:
     struct Observer {
-        std::function<void(BackendPointer const&)> added;
+        std::function<void(BackendPointer const&)> on_added;
         /// It says that it leaves, or is off the list.
         std::function<void(BackendPointer const&)> on_leaving;
     };
