--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -120,7 +120,8 @@
     this->context.log.event(Core::EventNumber::BackendServerGone, id.value())
         .with("own_generations", backend->engine.own_generations)
         .with("in_flight", backend->in_flight);
-    // It may go on running for as long as one that says that it leaves; what runs there is moved all the same.
+    // The server may keep running for as long as one that announced that it is leaving; its generations are moved in
+    // both cases.
     if (!backend->ends_at)
         backend->available_since = now;
     this->observer.on_leaving(backend);
@@ -141,7 +142,8 @@
     auto now = this->context.now();
     this->context.backends.expire_removed(now);
     while (true) {
-        auto due = std::ranges::find_if(this->deferred_removals, [&](auto const& held) { return held.second <= now; });
+        auto due
+            = std::ranges::find_if(this->deferred_removals, [&](auto const& removal) { return removal.second <= now; });
         if (due == this->deferred_removals.end())
             return;
         auto id = due->first;
--- a/Libraries/LibServing/BackendList.h
+++ b/Libraries/LibServing/BackendList.h
@@ -11,35 +11,40 @@
 
 namespace Serving {
 
-/// Keeps the table of backend servers in step with the platform's list. Entries lapse on that list while the platform
-/// is away, and the backend servers that live put them back within a known time of its return; a removal that is
-/// heard in that time is therefore held until it is over.
+/// Synchronises the table of backend servers with the platform's list. Entries expire on that list while the platform
+/// is unavailable, and running backend servers register again within a known time after its recovery. A removal that is
+/// received within that time is therefore deferred until the time is over.
 class BackendList {
 public:
     struct Observer {
+        /// A backend server was added to the table.
         std::function<void(BackendPointer const&)> on_added;
-        /// It says that it leaves, or is off the list.
+        /// A backend server is leaving, or was removed from the list.
         std::function<void(BackendPointer const&)> on_leaving;
     };
 
     BackendList(ServingContext& context, Observer observer);
 
-    /// The whole list, at one moment, with the ids of entries that cannot be used.
+    /// Applies a snapshot of the whole list. `unusable` holds the ids of invalid entries.
     void apply_list(std::vector<BackendServer> const&, std::vector<EngineId> const& unusable = {});
+    /// Applies an added or changed entry.
     void apply_entry(BackendServer const&);
-    /// Its entry cannot be used: it names no server to give work to, until a good entry comes. What runs there goes on,
-    /// since another writer's mistake says nothing of the server.
+    /// Sends the server no new work until a valid entry arrives, because its current entry is invalid. Running requests
+    /// continue: an invalid entry may be another writer's mistake and says nothing about the server itself.
     void mark_unusable(EngineId const&);
+    /// Removes the entry, or defers the removal while entries may still come back after a recovery of the platform.
     void handle_removal(EngineId const&);
-    /// Another host, or the backend server itself, says that the one which started then takes no new work.
+    /// Handles an announcement, by another host or by the backend server itself, that the server with this start is
+    /// leaving.
     void handle_leaving(EngineId const&, ServerStart, std::optional<Instant> ends_at);
-    /// Another process answers where it was: no work is given to it until the list has another start or address of it,
-    /// or has it anew. What is under way is left to its connection: only a later start under its id proves the end.
+    /// Another process responds at the server's address. The server gets no new work until the list has another start
+    /// or address for it, or adds it again. Running requests are left to their connections: only a later start with the
+    /// same id proves the termination.
     void handle_termination(EngineId const&, ServerStart, Address const&);
-    /// The platform answers again; entries that lapsed may come back within `recovery`.
+    /// The platform is available again; expired entries may come back within `recovery`.
     void handle_platform_recovery(Duration recovery);
     [[nodiscard]] Duration recovery_left() const;
-    /// Carries out removals whose time has come.
+    /// Executes the deferred removals that are due.
     void tick();
 
 private:
@@ -48,6 +53,7 @@
     ServingContext& context;
     Observer observer;
     Instant recovery_ends_at {};
+    /// The removals that are deferred, and when each is due.
     std::map<EngineId, Instant> deferred_removals;
 };
 
