--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -11,13 +11,13 @@
 
 namespace Serving {
 
-/// Names the order in which the hosts of a domain are asked to read the platform, and to speak for the domain.
+/// The subject whose ranks order the hosts of a domain as readers of the platform and as representatives of the domain.
 static constexpr std::string_view reading_duty = "platform";
 
 static u64 hash_of(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
-/// Of one host for one subject. Hashed once each, since a host asks this for each engine and each host of its domain
-/// several times a second.
+/// The rank of a host for a subject. It takes hashes that are computed once, since a host computes the ranks of all
+/// hosts of its domain for each engine several times a second.
 static u64 rank(u64 host_hash, u64 subject_hash)
 {
     return XXH3_64bits_withSeed(&host_hash, sizeof host_hash, subject_hash);
@@ -76,7 +76,7 @@
 {
     struct Count {
         u32 known { 0 };
-        u32 told { 0 };
+        u32 reported { 0 };
     };
     std::map<FailureDomainId, Count> counts;
     for (auto const& [address, host] : this->hosts) {
@@ -84,11 +84,11 @@
             continue;
         auto& count = counts[host.status.domain];
         ++count.known;
-        count.told = std::max(count.told, host.status.hosts_of_domain);
+        count.reported = std::max(count.reported, host.status.hosts_of_domain);
     }
     std::map<FailureDomainId, u32> hosts_by_domain;
     for (auto const& [domain, count] : counts)
-        hosts_by_domain[domain] = count.told > 0 ? count.told : count.known;
+        hosts_by_domain[domain] = count.reported > 0 ? count.reported : count.known;
     return hosts_by_domain;
 }
 
@@ -117,21 +117,21 @@
 {
     if (!this->table_read_at)
         return 0;
-    auto const near = this->hosts_of_own_domain(now);
-    auto const elsewhere = this->hosts_of_other_domains(now);
-    auto fleet = near;
-    for (auto const& [other, hosts] : elsewhere)
+    auto const local_hosts = this->hosts_of_own_domain(now);
+    auto const remote_domains = this->hosts_of_other_domains(now);
+    auto fleet = local_hosts;
+    for (auto const& [other, hosts] : remote_domains)
         fleet += hosts;
-    auto share_of = [&](u32 hosts) { return static_cast<u32>(u64(whole) * hosts / fleet); };
-    auto of_domain = share_of(near);
+    auto domain_share = [&](u32 hosts) { return static_cast<u32>(u64(whole) * hosts / fleet); };
+    auto own_domain_share = domain_share(local_hosts);
     if (domain == this->own_domain) {
-        of_domain = whole;
-        for (auto const& [other, hosts] : elsewhere)
-            of_domain -= std::min(of_domain, share_of(hosts));
+        own_domain_share = whole;
+        for (auto const& [other, hosts] : remote_domains)
+            own_domain_share -= std::min(own_domain_share, domain_share(hosts));
     }
-    auto const left_over = of_domain % near;
-    bool const has_one_more = left_over > 0 && this->local_hosts_before(own_address, hash_of(subject), now) < left_over;
-    return of_domain / near + (has_one_more ? 1 : 0);
+    auto const remainder = own_domain_share % local_hosts;
+    bool const has_one_more = remainder > 0 && this->local_hosts_before(own_address, hash_of(subject), now) < remainder;
+    return own_domain_share / local_hosts + (has_one_more ? 1 : 0);
 }
 
 std::optional<Duration> Reachability::fleet_known_for(Instant now) const
@@ -201,7 +201,7 @@
 
 bool Reachability::reads_platform(Address const& own_address, Instant now) const
 {
-    // A host that the platform does not answer goes on asking, to hear when it is back.
+    // A host to which the platform is unavailable continues to poll it, to notice its recovery.
     if (this->platform_unavailable)
         return true;
     bool const has_other_domains = std::ranges::any_of(this->hosts, [&](auto const& entry) {
@@ -225,12 +225,12 @@
 {
     Host const* latest = nullptr;
     Address receiver;
-    std::vector<std::pair<u64, Address>> drawn;
+    std::vector<std::pair<u64, Address>> candidates;
     for (auto const& [address, host] : this->hosts) {
         if (host.status.domain != domain)
             continue;
-        drawn.emplace_back(rank(host.hash, draw), address);
-        // One that the platform does not answer cannot tell its domain what it has missed.
+        candidates.emplace_back(rank(host.hash, draw), address);
+        // A host to which the platform is unavailable cannot forward missed updates to its domain.
         bool const is_better = !latest
             || std::pair(!host.status.platform_unavailable, host.received_at)
                 > std::pair(!latest->status.platform_unavailable, latest->received_at);
@@ -241,13 +241,13 @@
     }
     if (latest)
         return { receiver };
-    auto const count = std::min(drawn.size(), probes_per_silent_domain);
-    std::ranges::partial_sort(drawn, drawn.begin() + static_cast<std::ptrdiff_t>(count));
-    std::vector<Address> tried;
-    tried.reserve(count);
+    auto const count = std::min(candidates.size(), probes_per_silent_domain);
+    std::ranges::partial_sort(candidates, candidates.begin() + static_cast<std::ptrdiff_t>(count));
+    std::vector<Address> probed;
+    probed.reserve(count);
     for (size_t i = 0; i < count; ++i)
-        tried.push_back(drawn[i].second);
-    return tried;
+        probed.push_back(candidates[i].second);
+    return probed;
 }
 
 std::vector<Address> Reachability::remote_receivers(u64 draw, Instant now) const
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -14,14 +14,15 @@
 
 namespace Serving {
 
-/// A host by the platform's table of hosts.
+/// An entry of the platform's table of hosts.
 struct KnownHost {
     Address address;
     FailureDomainId domain;
 };
 
-/// Who speaks for a failure domain, who reads the platform, and what can be told of partitions, from who has been heard
-/// of lately. Hosts of one domain hear each other; of other domains only those are heard that speak for them.
+/// Tracks the other hosts and when each was last seen. From that it derives which hosts represent a failure domain,
+/// which hosts read the platform's tables, and whether there is a partition. Hosts of one domain receive messages from
+/// each other; from other domains they receive messages from the representatives only.
 class Reachability {
 public:
     explicit Reachability(FailureDomainId own_domain)
@@ -29,28 +30,30 @@
     {
     }
 
-    /// Hosts of a domain that tell other domains what its hosts have running: a second one is there for when the first
-    /// one falls silent, so that the domain is not taken to be cut off.
+    /// Number of hosts that announce to other domains what all hosts of their domain have running. The second one takes
+    /// over when the first one falls silent; without it the domain would look partitioned in the meantime.
     static constexpr size_t representatives_per_domain = 2;
-    /// Hosts of a domain that has not been heard lately to which something is sent at a time, in the hope that one
-    /// lives.
+    /// Number of hosts of a silent domain to which a message is sent at a time, in case one of them is running.
     static constexpr size_t probes_per_silent_domain = 2;
 
-    /// What a host says of itself in a whole message.
+    /// The status that a host reports in a full state message.
     struct HostStatus {
         FailureDomainId domain;
-        /// Until its next whole message.
+        /// Time until the host's next full state message.
         Duration period { 1s };
         bool platform_unavailable { false };
-        /// Hosts of its domain that may be serving, as far as it knows; 0 while it does not know.
+        /// Number of hosts of its domain that may be serving, as known to the host; 0 while unknown.
         u32 hosts_of_domain { 0 };
     };
 
+    /// Records a full state message from a host.
     void record_message(Address const& host, HostStatus const& status, Instant now);
+    /// Records any other message from a host.
     void record_message(Address const& host, Instant now);
-    /// Takes in the platform's table of the other hosts, as of `now`. Those that it names first have not been heard.
+    /// Adds the other hosts of the platform's table, as read at `now`. A host that was not known counts as not yet
+    /// seen.
     void update_known_hosts(std::span<KnownHost const>, Instant now);
-    /// What this host says of itself. `period`: until it says so again.
+    /// The status of this host. `period`: time until its next full state message.
     [[nodiscard]] HostStatus own_status(Duration period, Instant now) const;
     void set_platform_unavailable() { this->platform_unavailable = true; }
     void set_platform_available() { this->platform_unavailable = false; }
@@ -58,73 +61,75 @@
 
     [[nodiscard]] bool is_local(Address const& host) const;
     [[nodiscard]] bool is_reachable(Address const& host, Instant now) const;
-    /// Whether this host reads the platform's tables, or hears of them from another one of its domain that does.
+    /// Whether this host reads the platform's tables itself. Otherwise it receives updates from a reader of its domain.
     [[nodiscard]] bool reads_platform(Address const& own_address, Instant now) const;
-    /// Whether this host is the one of its domain that passes on what it reads.
+    /// Whether this host is the reader of its domain that forwards the updates it reads.
     [[nodiscard]] bool is_primary_reader(Address const& own_address, Instant now) const;
-    /// How many hosts of its domain come before this one in speaking for it; those that the platform answers come
-    /// first.
+    /// Number of hosts of this domain that precede this host in the order of representatives. Hosts to which the
+    /// platform is available come first.
     [[nodiscard]] size_t representatives_before(Address const& own_address, Instant now) const;
     [[nodiscard]] bool is_representative(Address const& own_address, Instant now) const
     {
         return this->representatives_before(own_address, now) < representatives_per_domain;
     }
-    /// Whether this host is the one of all domains that are heard which is to know changes of the platform first; it
-    /// tells the others.
+    /// Whether this host is the one reader, among all reachable domains, that polls the platform promptly and sends
+    /// updates to the others.
     [[nodiscard]] bool is_leading_reader(Address const& own_address, Instant now) const;
-    /// For each other domain the host that was last heard to speak for it; some of its hosts, drawn anew by each
-    /// `draw`, where none was heard lately.
+    /// The receivers of a message to all other domains: for each domain the representative that was last seen or, if
+    /// none was seen lately, a few of its hosts that are drawn at random by `draw`.
     [[nodiscard]] std::vector<Address> remote_receivers(u64 draw, Instant now) const;
-    /// Hosts of other domains that are known, whether they live or not.
+    /// Number of known hosts of other domains, reachable or not.
     [[nodiscard]] size_t remote_host_count() const;
-    /// Other hosts of this domain.
+    /// Number of other hosts of this domain that are reachable.
     [[nodiscard]] size_t reachable_local_hosts(Instant now) const;
-    /// All hosts that may be serving, this one included: those that were heard or heard of not long ago, also when they
-    /// are cut off now. Nothing until the platform's table of hosts has been read.
+    /// Number of hosts that may be serving, including this one. Partitioned hosts count too, until they have been
+    /// silent for `counted_after_silence`. Empty until the platform's table of hosts has been read.
     [[nodiscard]] std::optional<u32> fleet_size(Instant now) const;
-    /// For how long this host has known who else there is; nothing before it does.
+    /// Time since the platform's table of hosts was first read; empty before that.
     [[nodiscard]] std::optional<Duration> fleet_known_for(Instant now) const;
-    /// This host's part of `whole` indivisible units of `subject`, something in `domain`, such as requests that it
-    /// bears in a second. The parts of all hosts that may be serving add up to no more than the whole where they know
-    /// the same hosts: each domain has its share by number of hosts, that of the subject also what the division leaves,
-    /// and inside a domain the units that are too few for all go to hosts by rendezvous hashing. Nothing until the
-    /// platform's table of hosts has been read.
+    /// This host's share of `whole` indivisible units of `subject`, which is in `domain`, such as the requests per
+    /// second that a backend server can handle. The shares of all hosts that may be serving add up to at most `whole`
+    /// if they know the same hosts. Each domain gets a share proportional to its number of hosts, and the subject's
+    /// domain also gets the remainder of that division. Within a domain the remainder is assigned to hosts by
+    /// rendezvous hashing. Zero until the platform's table of hosts has been read.
     [[nodiscard]] u32 share_of(u32 whole, Address const& own_address, std::string_view subject,
         FailureDomainId const& domain, Instant now) const;
-    /// How long ago a domain was last heard; the longest time for one that never was.
+    /// Time since the last message from a domain; `Duration::max()` if there was none.
     [[nodiscard]] Duration domain_message_age(FailureDomainId const& domain, Instant now) const;
-    /// Whether news of backend servers may not come: the platform does not answer, or all other hosts are silent.
+    /// Whether updates about backend servers may be missing: the platform is unavailable, or all other hosts are
+    /// silent.
     [[nodiscard]] bool is_partitioned(Instant now) const;
-    /// Whether this host is the one among those that it hears which looks after `subject`, something that is in
-    /// `domain`. Hosts of that domain go before all others. Hosts that hear the same others agree on it (rendezvous
-    /// hashing).
+    /// Whether this host, among itself and the hosts reachable from it, is the one responsible for `subject`, which is
+    /// in `domain`. Hosts of that domain take precedence. Hosts that can reach the same others agree on the responsible
+    /// one (rendezvous hashing).
     [[nodiscard]] bool is_responsible_for(
         Address const& own_address, std::string_view subject, FailureDomainId const& domain, Instant now) const;
-    /// Other domains all of whose hosts have fallen silent.
+    /// The other domains in which all hosts are silent.
     [[nodiscard]] std::vector<FailureDomainId> silent_domains(Instant now) const;
 
 private:
-    /// A host that has been silent for so long has gone for good, or was replaced.
+    /// A host that has been silent for this long has been removed or replaced, and no longer indicates a partition.
     static constexpr Duration forgotten_after = 60s;
-    /// A host that is cut off goes on serving its callers, and partitions may last for an hour; one that has been
-    /// silent for twice as long does not count any more.
+    /// A partitioned host continues to serve its callers, and a partition may last for an hour. A host that has been
+    /// silent for twice as long no longer counts towards the number of hosts.
     static constexpr Duration counted_after_silence = 2h;
-    /// Whole messages that may be missed before a host counts as silent, and the time that one may be late.
+    /// Number of full state messages that a host may miss before it counts as silent, and how late a message may be.
     static constexpr int tolerated_missing_messages = 2;
     static constexpr Duration tolerated_lateness = 200ms;
-    /// In a domain of many hosts some message of some host comes all the time; this is for a few that are late
-    /// together.
+    /// Lower bound of the time without messages after which a domain counts as silent. A domain of many hosts sends
+    /// messages almost continuously; the bound tolerates several of them being late together.
     static constexpr Duration min_domain_silence = 1s;
-    /// Hosts of a larger domain that read the platform; a small one has the readers of the others to fall back on.
+    /// Number of hosts of a large domain that read the platform. A small domain has one reader, with those of the other
+    /// domains as a fallback.
     static constexpr size_t readers_of_large_domain = 2;
     static constexpr size_t large_domain = 4;
 
     struct Host {
         HostStatus status;
         Instant received_at {};
-        /// When it was first known.
+        /// When this host first learned of the other one.
         Instant known_since {};
-        /// Of its address; with that of a subject it gives the host's rank for the subject.
+        /// Hash of the address. Combined with the hash of a subject it gives the host's rank for that subject.
         u64 hash { 0 };
     };
     [[nodiscard]] static bool is_silent(Host const& host, Instant now)
@@ -140,14 +145,15 @@
         return now - std::max(host.received_at, host.known_since) <= counted_after_silence;
     }
     Host& entry_of(Address const& host, Instant now);
-    /// With this one.
+    /// Number of hosts of this domain that may be serving, including this host.
     [[nodiscard]] u32 hosts_of_own_domain(Instant now) const;
-    /// Hosts of this domain that may be serving and come before this one for the subject.
+    /// Number of hosts of this domain that may be serving and have a higher rank for the subject than this host.
     [[nodiscard]] u32 local_hosts_before(Address const& own_address, u64 subject_hash, Instant now) const;
-    /// Of each other domain: what those that speak for it say, or else how many are known.
+    /// Number of hosts of each other domain: as reported by its representatives, or else as known to this host.
     [[nodiscard]] std::map<FailureDomainId, u32> hosts_of_other_domains(Instant now) const;
     [[nodiscard]] bool is_available_reader(Host const& host, Instant now) const;
-    /// Hosts of this domain that the platform answers and that come before this one in the order of readers.
+    /// Number of hosts of this domain to which the platform is available and that precede this host in the order of
+    /// readers.
     [[nodiscard]] size_t available_readers_before(Address const& own_address, Instant now) const;
     [[nodiscard]] size_t available_readers(Instant now) const;
     [[nodiscard]] std::vector<FailureDomainId> other_domains() const;
@@ -156,7 +162,7 @@
     FailureDomainId own_domain;
     std::map<Address, Host> hosts;
     bool platform_unavailable { false };
-    /// Nothing until the platform's table of hosts has been read.
+    /// When the platform's table of hosts was first read; empty before that.
     std::optional<Instant> table_read_at;
 };
 
