--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -58,7 +58,7 @@
 void PeerUse::apply(MemberId const& name, wire::HostUse const& message, BackendTable& table, Instant now)
 {
     auto& host = this->hosts[name];
-    host.received_at = now;
+    host.last_seen = now;
     host.is_local = message.domain_speaker().empty();
     std::set<EngineId> named;
     for (auto const& engine : message.engines()) {
@@ -81,7 +81,7 @@
 {
     std::vector<MemberId> forgotten;
     for (auto& [name, host] : this->hosts) {
-        if (now - host.received_at <= host.silence_limit)
+        if (now - host.last_seen <= host.silence_limit)
             continue;
         forget_all_but(host, {}, table);
         forgotten.push_back(name);
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -40,7 +40,7 @@
 
 private:
     struct Host {
-        Instant received_at {};
+        Instant last_seen {};
         Duration silence_limit { min_silence_limit };
         /// One host of this failure domain; else all hosts of another one together.
         bool is_local { true };
--- a/Libraries/LibServing/Reachability.cpp
+++ b/Libraries/LibServing/Reachability.cpp
@@ -39,14 +39,14 @@
 {
     auto& entry = this->entry_of(host, now);
     entry.status = status;
-    entry.received_at = now;
+    entry.last_seen = now;
 }
 
 void Reachability::record_message(Address const& host, Instant now)
 {
     auto known = this->hosts.find(host);
     if (known != this->hosts.end())
-        known->second.received_at = now;
+        known->second.last_seen = now;
 }
 
 void Reachability::update_known_hosts(std::span<KnownHost const> known, Instant now)
@@ -232,8 +232,8 @@
         candidates.emplace_back(rank(host.hash, draw), address);
         // A host to which the platform is unavailable cannot forward missed updates to its domain.
         bool const is_better = !latest
-            || std::pair(!host.status.platform_unavailable, host.received_at)
-                > std::pair(!latest->status.platform_unavailable, latest->received_at);
+            || std::pair(!host.status.platform_unavailable, host.last_seen)
+                > std::pair(!latest->status.platform_unavailable, latest->last_seen);
         if (is_silent(host, now) || !is_better)
             continue;
         latest = &host;
@@ -273,12 +273,12 @@
 
 Duration Reachability::domain_message_age(FailureDomainId const& domain, Instant now) const
 {
-    Instant received_at {};
+    Instant last_seen {};
     for (auto const& [address, host] : this->hosts) {
         if (host.status.domain == domain)
-            received_at = std::max(received_at, host.received_at);
+            last_seen = std::max(last_seen, host.last_seen);
     }
-    return received_at == Instant {} ? Duration::max() : now - received_at;
+    return last_seen == Instant {} ? Duration::max() : now - last_seen;
 }
 
 bool Reachability::is_partitioned(Instant now) const
@@ -307,7 +307,7 @@
 std::vector<FailureDomainId> Reachability::silent_domains(Instant now) const
 {
     struct Domain {
-        Instant received_at {};
+        Instant last_seen {};
         Duration period { 0 };
         int hosts { 0 };
     };
@@ -316,14 +316,14 @@
         if (is_forgotten(host, now) || host.status.domain == this->own_domain)
             continue;
         auto& domain = domains[host.status.domain];
-        domain.received_at = std::max(domain.received_at, host.received_at);
+        domain.last_seen = std::max(domain.last_seen, host.last_seen);
         domain.period = std::max(domain.period, host.status.period);
         ++domain.hosts;
     }
     std::vector<FailureDomainId> silent;
     for (auto const& [name, domain] : domains) {
         auto limit = std::max<Duration>(min_domain_silence, tolerated_missing_messages * domain.period / domain.hosts);
-        if (now - domain.received_at > limit)
+        if (now - domain.last_seen > limit)
             silent.push_back(name);
     }
     return silent;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -126,7 +126,7 @@
 
     struct Host {
         HostStatus status;
-        Instant received_at {};
+        Instant last_seen {};
         /// When this host first learned of the other one.
         Instant known_since {};
         /// Hash of the address. Combined with the hash of a subject it gives the host's rank for that subject.
@@ -134,15 +134,15 @@
     };
     [[nodiscard]] static bool is_silent(Host const& host, Instant now)
     {
-        return now - host.received_at > tolerated_missing_messages * host.status.period + tolerated_lateness;
+        return now - host.last_seen > tolerated_missing_messages * host.status.period + tolerated_lateness;
     }
     [[nodiscard]] static bool is_forgotten(Host const& host, Instant now)
     {
-        return host.received_at == Instant {} || now - host.received_at > forgotten_after;
+        return host.last_seen == Instant {} || now - host.last_seen > forgotten_after;
     }
     [[nodiscard]] static bool may_serve(Host const& host, Instant now)
     {
-        return now - std::max(host.received_at, host.known_since) <= counted_after_silence;
+        return now - std::max(host.last_seen, host.known_since) <= counted_after_silence;
     }
     Host& entry_of(Address const& host, Instant now);
     /// Number of hosts of this domain that may be serving, including this host.
