--- a/Libraries/LibServing/PeerUse.cpp
+++ b/Libraries/LibServing/PeerUse.cpp
@@ -8,7 +8,8 @@
 
 namespace Serving {
 
-/// Tokens that running generations gain are told with the next whole message, unless they add up to this much.
+/// Tokens added by running generations are reported with the next full state message, or in a delta if they add up to
+/// this many.
 static constexpr i64 min_token_change = 1000;
 
 static void add_to(EngineWork& work, EngineWork const& use, int sign)
@@ -32,24 +33,24 @@
         add_to(engine.domain_peer_work, use, sign);
 }
 
-void PeerUse::replace(Host& host, EngineId const& id, ReportedUse const& told, BackendTable& table)
+void PeerUse::replace(Host& host, EngineId const& id, ReportedUse const& reported, BackendTable& table)
 {
     auto& known = host.engines[id];
     if (auto backend = table.find_running(id)) {
         if (backend->matches_start(known.start))
             add(*backend, known.use, host.is_local, -1);
-        if (backend->matches_start(told.start))
-            add(*backend, told.use, host.is_local, 1);
+        if (backend->matches_start(reported.start))
+            add(*backend, reported.use, host.is_local, 1);
     }
-    known = told;
-    if (told.use == Use {})
+    known = reported;
+    if (reported.use == Use {})
         host.engines.erase(id);
 }
 
 void PeerUse::forget_all_but(Host& host, std::set<EngineId> const& named, BackendTable& table)
 {
     auto engines = host.engines;
-    for (auto const& [id, told] : engines) {
+    for (auto const& [id, reported] : engines) {
         if (!named.contains(id))
             replace(host, id, {}, table);
     }
@@ -126,14 +127,14 @@
 {
     wire::HostUse message;
     message.set_is_whole(true);
-    this->told.clear();
+    this->last_sent.clear();
     for (auto const& backend : table.running()) {
         auto const& id = backend->server.id;
         auto use = use_of(*backend);
         if (use == PeerUse::Use {})
             continue;
         append(message, backend->server, use);
-        this->told[id] = use;
+        this->last_sent[id] = use;
     }
     return message;
 }
@@ -144,7 +145,7 @@
     for (auto const& backend : table.running()) {
         auto const& id = backend->server.id;
         auto use = use_of(*backend);
-        auto& before = this->told[id];
+        auto& before = this->last_sent[id];
         bool const has_changed = use.generations != before.generations || use.unread_tokens != before.unread_tokens
             || use.uncopied_tokens != before.uncopied_tokens || use.incoming_tokens != before.incoming_tokens
             || std::abs(use.tokens - before.tokens) >= min_token_change;
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -13,28 +13,28 @@
 
 namespace Serving {
 
-/// What the other entry hosts say that they have running at engines. Each host decides alone, but with the others'
-/// decisions in view: they tell each other of every placement at once.
+/// The engine use of the other entry hosts, as they report it. Each host makes its own placement decisions, but takes
+/// the placements of the others into account: hosts announce every placement to each other at once.
 class PeerUse {
 public:
-    /// A host that has said nothing for three times the period of its whole messages, and for this long at least, is
-    /// taken to be gone or cut off, and what it said is forgotten.
+    /// A host counts as terminated or partitioned, and its reported use is dropped, after a silence of three periods of
+    /// its full state messages, and at least this long.
     static constexpr Duration min_silence_limit = 3s;
 
     using Use = EngineWork;
 
-    /// What is said of one engine, and of which of its starts.
+    /// The reported use of an engine, and the start of the engine that the report is about.
     struct ReportedUse {
         ServerStart start;
         Use use;
     };
 
-    /// Takes in what `host` says, and adds the difference to the engines in the table. What is said of a whole failure
-    /// domain is kept under the domain's name, whichever of its hosts says it.
+    /// Applies a message of `host`, and adds the difference to the engines in the table. The use of a whole failure
+    /// domain is stored under the domain's name, no matter which of its representatives reports it.
     void apply(MemberId const& host, wire::HostUse const&, BackendTable&, Instant now);
-    /// Forgets hosts that have been silent for too long. Answers their names.
+    /// Drops the use of hosts that have been silent for too long. Returns the names of these hosts.
     std::vector<MemberId> forget_silent(BackendTable&, Instant now);
-    /// Puts what is known of an engine that has just come into the table.
+    /// Adds the known use to an engine that has just been added to the table.
     void apply_to(Backend&) const;
     [[nodiscard]] size_t count() const { return this->hosts.size(); }
 
@@ -42,7 +42,7 @@
     struct Host {
         Instant last_seen {};
         Duration silence_limit { min_silence_limit };
-        /// One host of this failure domain; else all hosts of another one together.
+        /// Whether this is one host of the own failure domain. Otherwise it stands for all hosts of another domain.
         bool is_local { true };
         std::map<EngineId, ReportedUse> engines;
     };
@@ -54,15 +54,15 @@
     std::map<MemberId, Host> hosts;
 };
 
-/// Whose use of engines is told.
+/// Whose use of engines a message reports.
 enum class UseScope : u8 {
-    /// This host's, to those of its failure domain.
+    /// The use of this host, sent to the hosts of its failure domain.
     Host,
-    /// That of all hosts of this failure domain, to other domains.
+    /// The use of all hosts of this failure domain, sent to other domains.
     Domain,
 };
 
-/// What this host or its failure domain has running, for others: as a whole, or what has changed since it was told.
+/// Builds the messages that report the engine use of this host or of its failure domain.
 class OwnUse {
 public:
     explicit OwnUse(UseScope scope = UseScope::Host)
@@ -70,8 +70,9 @@
     {
     }
 
+    /// The use of all engines. Later deltas are relative to it.
     [[nodiscard]] wire::HostUse full_state(BackendTable const&);
-    /// Empty when nothing worth telling has changed.
+    /// The engines whose use has changed since it was last sent; empty if there is no change worth sending.
     [[nodiscard]] std::optional<wire::HostUse> delta(BackendTable const&);
 
 private:
@@ -79,7 +80,7 @@
     static void append(wire::HostUse&, BackendServer const&, PeerUse::Use const&);
 
     UseScope scope;
-    std::map<EngineId, PeerUse::Use> told;
+    std::map<EngineId, PeerUse::Use> last_sent;
 };
 
 }
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -197,7 +197,7 @@
     Libraries/LibServing/BackendTable.cpp "server.start < this->latest_start_of(server.id)" "false"
 guard "others' work counts for the start that they name" TestLibServing \
     "Scenario: words of any start in any order leave what the latest start is" \
-    Libraries/LibServing/PeerUse.cpp "if (backend->matches_start(told.start))" ""
+    Libraries/LibServing/PeerUse.cpp "if (backend->matches_start(reported.start))" ""
 guard "a later start ends what the former had" TestPlatform "Scenario: a generation is relayed event by event" \
     Libraries/LibServing/BackendList.cpp "before->notify_termination();" ";"
 guard "who answers for another gets no more" TestPlatform \
