--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -208,7 +208,7 @@
     return std::clamp<Duration>(wanted, shortest_period, longest_period);
 }
 
-Duration PeerLink::domain_change_delay() const
+Duration PeerLink::domain_delta_delay() const
 {
     auto more = std::max<i64>(0, static_cast<i64>(this->context.reach.remote_host_count()) - far_hosts_told_at_once);
     return change_delay + more * change_delay_for_each_more;
@@ -236,7 +236,7 @@
 
 void PeerLink::schedule_digest()
 {
-    this->context.remote_estimate_age = this->domain_change_delay();
+    this->context.remote_estimate_age = this->domain_delta_delay();
     auto const place = std::min(this->own_representative_rank(), Reachability::representatives_per_domain - 1);
     auto const period = static_cast<i64>(1 + place) * digest_period;
     this->digest_timer.expires_after(period);
@@ -282,7 +282,7 @@
 {
     if (std::exchange(this->domain_delta_pending, true))
         return;
-    this->domain_delta_timer.expires_after(this->domain_change_delay());
+    this->domain_delta_timer.expires_after(this->domain_delta_delay());
     this->domain_delta_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
         this->domain_delta_pending = false;
         if (error || this->own_representative_rank() > 0)
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -79,7 +79,7 @@
     void complete_full_state(wire::HostUse&, Duration period);
     [[nodiscard]] size_t own_representative_rank() const;
     [[nodiscard]] Duration period() const;
-    [[nodiscard]] Duration domain_change_delay() const;
+    [[nodiscard]] Duration domain_delta_delay() const;
     void broadcast(wire::HostUse const&);
     void send_to_remote_domains(wire::HostUse);
     [[nodiscard]] std::vector<Address> reachable_local_addresses() const;
