--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -170,12 +170,12 @@
     }
 }
 
-void PeerLink::announce_update(wire::PlatformNews news)
+void PeerLink::announce_update(wire::PlatformNews update)
 {
-    news.set_failure_domain(this->context.settings.failure_domain.value());
-    this->send_through_relays(news, this->reachable_local_addresses());
+    update.set_failure_domain(this->context.settings.failure_domain.value());
+    this->send_through_relays(update, this->reachable_local_addresses());
     this->send(
-        this->context.reach.remote_receivers(++this->remote_messages_sent, this->context.now()), std::move(news));
+        this->context.reach.remote_receivers(++this->remote_messages_sent, this->context.now()), std::move(update));
 }
 
 void PeerLink::fetch_updates(Address const& host, std::string const& table, u64 version)
@@ -188,18 +188,18 @@
 
 void PeerLink::handle_fetch(Address const& peer, wire::NewsFetch const& fetch)
 {
-    for (auto& news : this->observer.updates_since(fetch.table(), fetch.after())) {
-        news.set_failure_domain(this->context.settings.failure_domain.value());
-        this->send(std::span(&peer, 1), std::move(news));
+    for (auto& update : this->observer.updates_since(fetch.table(), fetch.after())) {
+        update.set_failure_domain(this->context.settings.failure_domain.value());
+        this->send(std::span(&peer, 1), std::move(update));
     }
 }
 
-void PeerLink::relay(wire::PlatformNews const& news, bool is_local_sender)
+void PeerLink::relay(wire::PlatformNews const& update, bool is_local_sender)
 {
-    auto own = news;
+    auto own = update;
     own.set_failure_domain(this->context.settings.failure_domain.value());
     this->send_through_relays(
-        std::move(own), is_local_sender ? addresses_of(news.relay_to()) : this->reachable_local_addresses());
+        std::move(own), is_local_sender ? addresses_of(update.relay_to()) : this->reachable_local_addresses());
 }
 
 Duration PeerLink::period() const
@@ -363,10 +363,10 @@
         return this->handle_fetch(sender, envelope.news_fetch());
     if (!envelope.has_platform_news())
         return;
-    auto const& news = envelope.platform_news();
+    auto const& update = envelope.platform_news();
     this->context.reach.record_message(sender, this->context.now());
     this->observer.update_received(
-        news, FailureDomainId(news.failure_domain()) == this->context.settings.failure_domain);
+        update, FailureDomainId(update.failure_domain()) == this->context.settings.failure_domain);
 }
 
 /// What the sender of a whole message says of itself.
--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -32,14 +32,14 @@
     /// This host has read changes of a table. One host of the domain passes them on. A further one that reads too is
     /// there for when that one fails: until it takes over, the others learn from whole messages that they have missed
     /// something.
-    void announce(std::string_view table, Platform::TableUpdate const& news)
+    void announce(std::string_view table, Platform::TableUpdate const& update)
     {
         wire::PlatformNews message;
         message.set_table(std::string(table));
-        message.set_previous_change(news.previous_change);
-        message.set_version(news.page.version);
+        message.set_previous_change(update.previous_change);
+        message.set_version(update.page.version);
         message.set_recovery_left_milliseconds(static_cast<u32>(AK::to_milliseconds(this->backends.recovery_left())));
-        put_rows(message, news.page.changes, max_update_bytes);
+        put_rows(message, update.page.changes, max_update_bytes);
         this->logs[message.table()].add(message);
         if (this->context.reach.is_primary_reader(this->peers.address(), this->context.now()))
             this->peers.announce_update(std::move(message));
@@ -66,11 +66,11 @@
         if (message.recovery_left_milliseconds() > 0)
             this->backends.handle_platform_recovery(std::chrono::milliseconds(message.recovery_left_milliseconds()));
         this->logs[message.table()].add(message);
-        Platform::TableUpdate news;
-        news.previous_change = message.previous_change();
-        news.page.version = message.version();
-        news.page.changes = std::move(rows.value());
-        follower->receive_update(std::move(news));
+        Platform::TableUpdate update;
+        update.previous_change = message.previous_change();
+        update.page.version = message.version();
+        update.page.changes = std::move(rows.value());
+        follower->receive_update(std::move(update));
     }
 
     /// `host` knows a change of this version of a table.
--- a/Libraries/LibServing/TableUpdateLog.cpp
+++ b/Libraries/LibServing/TableUpdateLog.cpp
@@ -9,15 +9,15 @@
 
 namespace Serving {
 
-void TableUpdateLog::add(wire::PlatformNews news)
+void TableUpdateLog::add(wire::PlatformNews update)
 {
     // Who is to pass it on is for its first receiver only.
-    news.clear_relay_to();
+    update.clear_relay_to();
     auto place = std::ranges::lower_bound(
-        this->kept, news.version(), {}, [](wire::PlatformNews const& known) { return known.version(); });
-    if (place != this->kept.end() && place->version() == news.version())
+        this->kept, update.version(), {}, [](wire::PlatformNews const& known) { return known.version(); });
+    if (place != this->kept.end() && place->version() == update.version())
         return;
-    this->kept.insert(place, std::move(news));
+    this->kept.insert(place, std::move(update));
     if (this->kept.size() > max_kept)
         this->kept.pop_front();
 }
@@ -26,13 +26,13 @@
 {
     std::vector<wire::PlatformNews> following;
     auto known = version;
-    for (auto const& news : this->kept) {
-        if (news.version() <= known)
+    for (auto const& update : this->kept) {
+        if (update.version() <= known)
             continue;
-        if (news.previous_change() > known)
+        if (update.previous_change() > known)
             return {};
-        following.push_back(news);
-        known = news.version();
+        following.push_back(update);
+        known = update.version();
     }
     return following;
 }
--- a/Libraries/LibServing/TableUpdateRows.cpp
+++ b/Libraries/LibServing/TableUpdateRows.cpp
@@ -42,7 +42,7 @@
     return result;
 }
 
-void put_rows(wire::PlatformNews& news, std::vector<Platform::RowChange> const& changes, size_t most_bytes)
+void put_rows(wire::PlatformNews& update, std::vector<Platform::RowChange> const& changes, size_t most_bytes)
 {
     wire::TableRows rows;
     for (auto const& change : changes) {
@@ -55,16 +55,16 @@
     auto packed = deflated(rows.SerializeAsString());
     if (packed.size() > most_bytes)
         return;
-    news.set_has_rows(true);
-    news.set_packed_rows(std::move(packed));
+    update.set_has_rows(true);
+    update.set_packed_rows(std::move(packed));
 }
 
-Result<std::vector<Platform::RowChange>> rows_of(wire::PlatformNews const& news)
+Result<std::vector<Platform::RowChange>> rows_of(wire::PlatformNews const& update)
 {
     std::vector<Platform::RowChange> changes;
-    if (!news.has_rows())
+    if (!update.has_rows())
         return changes;
-    TRY(auto bytes, inflated(news.packed_rows()));
+    TRY(auto bytes, inflated(update.packed_rows()));
     wire::TableRows rows;
     if (!rows.ParseFromString(bytes))
         return Error { ErrorKind::InvalidRequest, "packed rows are no rows; they are read from the platform", {} };
--- a/Libraries/LibServing/TableUpdateRows.h
+++ b/Libraries/LibServing/TableUpdateRows.h
@@ -12,12 +12,12 @@
 
 namespace Serving {
 
-/// Writes rows into `news`, packed. Does nothing when more than `most_bytes` would be left of them: the receivers then
-/// read them from the platform.
-void put_rows(wire::PlatformNews& news, std::vector<Platform::RowChange> const& changes, size_t most_bytes);
+/// Writes rows into `update`, packed. Does nothing when more than `most_bytes` would be left of them: the receivers
+/// then read them from the platform.
+void put_rows(wire::PlatformNews& update, std::vector<Platform::RowChange> const& changes, size_t most_bytes);
 
-/// The rows in `news`; empty when it has none.
+/// The rows in `update`; empty when it has none.
 /// Errors: InvalidRequest when packed rows cannot be unpacked.
-Result<std::vector<Platform::RowChange>> rows_of(wire::PlatformNews const& news);
+Result<std::vector<Platform::RowChange>> rows_of(wire::PlatformNews const& update);
 
 }
