--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -18,7 +18,7 @@
 static constexpr Duration change_delay = 2ms;
 /// Other domains are told as fast of the placements of a few hosts. Each one more slows that down, so that the messages
 /// that a host takes in stay the same: 240 ms at 250 far hosts, four messages a second from each domain.
-static constexpr i64 far_hosts_told_at_once = 12;
+static constexpr i64 remote_hosts_without_delay = 12;
 static constexpr Duration change_delay_for_each_more = 1ms;
 /// A whole message is some hundred bytes to each near host; this keeps all of them near 1.5 KB a second each way.
 static constexpr Duration period_for_each_peer = 60ms;
@@ -210,7 +210,8 @@
 
 Duration PeerLink::domain_delta_delay() const
 {
-    auto more = std::max<i64>(0, static_cast<i64>(this->context.reach.remote_host_count()) - far_hosts_told_at_once);
+    auto more
+        = std::max<i64>(0, static_cast<i64>(this->context.reach.remote_host_count()) - remote_hosts_without_delay);
     return change_delay + more * change_delay_for_each_more;
 }
 
