--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -23,7 +23,7 @@
 /// A whole message is some hundred bytes to each near host; this keeps all of them near 1.5 KB a second each way.
 static constexpr Duration period_for_each_peer = 60ms;
 static constexpr Duration min_period = 300ms;
-static constexpr Duration longest_period = 1s;
+static constexpr Duration max_period = 1s;
 /// Between whole messages of the first host that speaks for a domain; of the second one twice as long. A domain of
 /// which nothing is heard for a second counts as silent.
 static constexpr Duration digest_period = 500ms;
@@ -205,7 +205,7 @@
 Duration PeerLink::period() const
 {
     auto wanted = static_cast<i64>(this->peers.size()) * period_for_each_peer;
-    return std::clamp<Duration>(wanted, min_period, longest_period);
+    return std::clamp<Duration>(wanted, min_period, max_period);
 }
 
 Duration PeerLink::domain_delta_delay() const
