--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -35,7 +35,7 @@
 static constexpr size_t relay_fan_out = 8;
 /// A host that avoids many backend servers at once is most likely cut off or short of its link itself; the others need
 /// not hear of more than these in a second.
-static constexpr u32 most_avoided_told = 8;
+static constexpr u32 max_unreachable_announced = 8;
 
 static std::vector<Address> addresses_of(google::protobuf::RepeatedPtrField<std::string> const& texts)
 {
@@ -138,7 +138,7 @@
         this->unreachable_window_start = now;
         this->unreachable_announced = 0;
     }
-    if (++this->unreachable_announced > most_avoided_told || this->context.reach.is_partitioned(now))
+    if (++this->unreachable_announced > max_unreachable_announced || this->context.reach.is_partitioned(now))
         return;
     wire::HostUse message;
     auto& unreachable = *message.add_unreachable();
