--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -21,7 +21,7 @@
 static constexpr i64 remote_hosts_without_delay = 12;
 static constexpr Duration change_delay_for_each_more = 1ms;
 /// A whole message is some hundred bytes to each near host; this keeps all of them near 1.5 KB a second each way.
-static constexpr Duration period_for_each_peer = 60ms;
+static constexpr Duration period_per_peer = 60ms;
 static constexpr Duration min_period = 300ms;
 static constexpr Duration max_period = 1s;
 /// Between whole messages of the first host that speaks for a domain; of the second one twice as long. A domain of
@@ -204,7 +204,7 @@
 
 Duration PeerLink::period() const
 {
-    auto wanted = static_cast<i64>(this->peers.size()) * period_for_each_peer;
+    auto wanted = static_cast<i64>(this->peers.size()) * period_per_peer;
     return std::clamp<Duration>(wanted, min_period, max_period);
 }
 
