--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -19,7 +19,7 @@
 /// Other domains are told as fast of the placements of a few hosts. Each one more slows that down, so that the messages
 /// that a host takes in stay the same: 240 ms at 250 far hosts, four messages a second from each domain.
 static constexpr i64 remote_hosts_without_delay = 12;
-static constexpr Duration change_delay_for_each_more = 1ms;
+static constexpr Duration delta_delay_per_remote_host = 1ms;
 /// A whole message is some hundred bytes to each near host; this keeps all of them near 1.5 KB a second each way.
 static constexpr Duration period_per_peer = 60ms;
 static constexpr Duration min_period = 300ms;
@@ -212,7 +212,7 @@
 {
     auto more
         = std::max<i64>(0, static_cast<i64>(this->context.reach.remote_host_count()) - remote_hosts_without_delay);
-    return change_delay + more * change_delay_for_each_more;
+    return change_delay + more * delta_delay_per_remote_host;
 }
 
 size_t PeerLink::own_representative_rank() const
