--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -15,7 +15,7 @@
 namespace Serving {
 
 /// Changes of one moment go out together; near hosts know of a placement within this time and their distance.
-static constexpr Duration change_delay = 2ms;
+static constexpr Duration delta_delay = 2ms;
 /// Other domains are told as fast of the placements of a few hosts. Each one more slows that down, so that the messages
 /// that a host takes in stay the same: 240 ms at 250 far hosts, four messages a second from each domain.
 static constexpr i64 remote_hosts_without_delay = 12;
@@ -212,7 +212,7 @@
 {
     auto more
         = std::max<i64>(0, static_cast<i64>(this->context.reach.remote_host_count()) - remote_hosts_without_delay);
-    return change_delay + more * delta_delay_per_remote_host;
+    return delta_delay + more * delta_delay_per_remote_host;
 }
 
 size_t PeerLink::own_representative_rank() const
@@ -268,7 +268,7 @@
     this->schedule_domain_delta();
     if (std::exchange(this->delta_pending, true))
         return;
-    this->delta_timer.expires_after(change_delay);
+    this->delta_timer.expires_after(delta_delay);
     this->delta_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
         this->delta_pending = false;
         if (error)
