--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -28,7 +28,7 @@
 /// which nothing is heard for a second counts as silent.
 static constexpr Duration digest_period = 500ms;
 /// Hosts that are silent are still called now and then, in case they come back.
-static constexpr u32 rounds_between_calls_to_silent = 4;
+static constexpr u32 rounds_between_probes = 4;
 
 /// Hosts that one sends news of the platform or of other domains to; each of them passes them on to its part of the
 /// rest. Two steps reach a domain of 72 hosts, and no host's link carries more than so many copies.
@@ -229,7 +229,7 @@
         for (auto const& name : this->use.forget_silent(this->context.backends, this->context.now()))
             this->context.log.event(Core::EventNumber::MemberLost, name.value());
         this->broadcast_full_state();
-        if (++this->rounds % rounds_between_calls_to_silent == 0)
+        if (++this->rounds % rounds_between_probes == 0)
             this->probe_silent_peers();
         this->schedule_full_state();
     }));
