--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -42,7 +42,7 @@
         , reporter(this->context)
         , peers(this->context, this->make_peer_observer())
         , backends(this->context,
-              { [this](BackendPointer const& backend) { this->peers.backend_appeared(*backend); },
+              { [this](BackendPointer const& backend) { this->peers.backend_added(*backend); },
                   [this](BackendPointer const& backend) { this->reporter.handle_engine_leaving(backend); } })
         , operator_table(this->context,
               { [this] { this->callers_context->limits = this->context.routing->limits(); },
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -47,7 +47,7 @@
 
     /// Takes in the platform's table of hosts, this one among them or not.
     void update_known_hosts(std::vector<KnownHost> hosts);
-    void backend_appeared(Backend& backend) { this->use.apply_to(backend); }
+    void backend_added(Backend& backend) { this->use.apply_to(backend); }
     /// Tells the others that a backend server is leaving; the platform may not have told them.
     void announce_leaving(Backend const&);
     /// Tells the others of a backend server that refuses requests.
