--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -14,27 +14,31 @@
 
 namespace Serving {
 
-/// Changes of one moment go out together; near hosts know of a placement within this time and their distance.
+/// Changes within this time are sent in one message. Local hosts know of a placement after this time and the network
+/// delay.
 static constexpr Duration delta_delay = 2ms;
-/// Other domains are told as fast of the placements of a few hosts. Each one more slows that down, so that the messages
-/// that a host takes in stay the same: 240 ms at 250 far hosts, four messages a second from each domain.
+/// Up to this many remote hosts, deltas are sent to other domains as quickly as within the domain. Each further host
+/// adds to the delay, so that the number of messages that a host receives stays constant: 240 ms at 250 remote hosts,
+/// four messages per second from each domain.
 static constexpr i64 remote_hosts_without_delay = 12;
 static constexpr Duration delta_delay_per_remote_host = 1ms;
-/// A whole message is some hundred bytes to each near host; this keeps all of them near 1.5 KB a second each way.
+/// A full state message has some hundred bytes per local host. This period limits them to about 1.5 KB/s in each
+/// direction.
 static constexpr Duration period_per_peer = 60ms;
 static constexpr Duration min_period = 300ms;
 static constexpr Duration max_period = 1s;
-/// Between whole messages of the first host that speaks for a domain; of the second one twice as long. A domain of
-/// which nothing is heard for a second counts as silent.
+/// Period of the full state messages that a domain's first representative sends to other domains. The second
+/// representative's period is twice as long. A domain counts as silent after one second without messages.
 static constexpr Duration digest_period = 500ms;
-/// Hosts that are silent are still called now and then, in case they come back.
+/// Silent hosts are probed once in this many rounds, in case they come back.
 static constexpr u32 rounds_between_probes = 4;
 
-/// Hosts that one sends news of the platform or of other domains to; each of them passes them on to its part of the
-/// rest. Two steps reach a domain of 72 hosts, and no host's link carries more than so many copies.
+/// Number of hosts to which one host sends an update of the platform or a message of another domain. Each of them
+/// forwards it to its share of the remaining hosts. Two steps cover a domain of 72 hosts, and no host's link carries
+/// more copies than this.
 static constexpr size_t relay_fan_out = 8;
-/// A host that avoids many backend servers at once is most likely cut off or short of its link itself; the others need
-/// not hear of more than these in a second.
+/// Upper bound of unreachable servers that a host announces per second. A host that avoids many backend servers at once
+/// is most likely partitioned itself, or its own link is overloaded.
 static constexpr u32 max_unreachable_announced = 8;
 
 static std::vector<Address> addresses_of(google::protobuf::RepeatedPtrField<std::string> const& texts)
@@ -151,22 +155,22 @@
 std::vector<Address> PeerLink::reachable_local_addresses() const
 {
     auto now = this->context.now();
-    std::vector<Address> heard;
+    std::vector<Address> reachable;
     for (auto const& address : this->peers) {
         if (this->context.reach.is_reachable(address, now))
-            heard.push_back(address);
+            reachable.push_back(address);
     }
-    return heard;
+    return reachable;
 }
 
 template<typename Message>
 void PeerLink::send_through_relays(Message message, std::vector<Address> const& receivers)
 {
-    for (auto const& part : split_for_relays(receivers, relay_fan_out)) {
+    for (auto const& group : split_for_relays(receivers, relay_fan_out)) {
         message.clear_relay_to();
-        for (size_t i = 1; i < part.size(); ++i)
-            message.add_relay_to(part[i].value());
-        this->send(std::span(&part.front(), 1), message);
+        for (size_t i = 1; i < group.size(); ++i)
+            message.add_relay_to(group[i].value());
+        this->send(std::span(&group.front(), 1), message);
     }
 }
 
@@ -204,15 +208,15 @@
 
 Duration PeerLink::period() const
 {
-    auto wanted = static_cast<i64>(this->peers.size()) * period_per_peer;
-    return std::clamp<Duration>(wanted, min_period, max_period);
+    auto proportional = static_cast<i64>(this->peers.size()) * period_per_peer;
+    return std::clamp<Duration>(proportional, min_period, max_period);
 }
 
 Duration PeerLink::domain_delta_delay() const
 {
-    auto more
+    auto further_hosts
         = std::max<i64>(0, static_cast<i64>(this->context.reach.remote_host_count()) - remote_hosts_without_delay);
-    return delta_delay + more * delta_delay_per_remote_host;
+    return delta_delay + further_hosts * delta_delay_per_remote_host;
 }
 
 size_t PeerLink::own_representative_rank() const
@@ -238,8 +242,8 @@
 void PeerLink::schedule_digest()
 {
     this->context.remote_estimate_age = this->domain_delta_delay();
-    auto const place = std::min(this->own_representative_rank(), Reachability::representatives_per_domain - 1);
-    auto const period = static_cast<i64>(1 + place) * digest_period;
+    auto const rank = std::min(this->own_representative_rank(), Reachability::representatives_per_domain - 1);
+    auto const period = static_cast<i64>(1 + rank) * digest_period;
     this->digest_timer.expires_after(period);
     this->digest_timer.async_wait(this->guard.wrap([this, period](boost::system::error_code error) {
         if (error)
@@ -278,7 +282,8 @@
     }));
 }
 
-/// Only the first speaker tells of changes; the second one's whole messages are enough until it takes over.
+/// Only the first representative sends deltas. The full state messages of the second one are sufficient until it takes
+/// over.
 void PeerLink::schedule_domain_delta()
 {
     if (std::exchange(this->domain_delta_pending, true))
@@ -370,8 +375,8 @@
         update, FailureDomainId(update.failure_domain()) == this->context.settings.failure_domain);
 }
 
-/// What the sender of a whole message says of itself.
-static Reachability::HostStatus said_in(wire::HostUse const& message)
+/// The status of the sender of a full state message.
+static Reachability::HostStatus status_in(wire::HostUse const& message)
 {
     return { FailureDomainId(message.failure_domain()), std::chrono::milliseconds(message.period_milliseconds()),
         message.platform_is_lost(), message.hosts_of_domain() };
@@ -383,9 +388,9 @@
     if (!this->context.reach.is_reachable(sender, now))
         this->context.log.event(Core::EventNumber::MemberJoined, name).with("address", sender);
     if (message.is_whole()) {
-        auto const said = said_in(message);
-        this->context.reach.record_message(sender, said, now);
-        if (said.domain == this->context.settings.failure_domain)
+        auto const status = status_in(message);
+        this->context.reach.record_message(sender, status, now);
+        if (status.domain == this->context.settings.failure_domain)
             this->peers.insert(sender);
     } else {
         this->context.reach.record_message(sender, now);
@@ -410,13 +415,13 @@
     if (domain == this->context.settings.failure_domain)
         return;
     auto now = this->context.now();
-    Address const speaker(message.domain_speaker());
+    Address const representative(message.domain_speaker());
     if (message.is_whole())
-        this->context.reach.record_message(speaker, said_in(message), now);
+        this->context.reach.record_message(representative, status_in(message), now);
     else
-        this->context.reach.record_message(speaker, now);
-    // What comes from the speaker itself is for all hosts of this domain.
-    bool const is_relayed = sender != speaker;
+        this->context.reach.record_message(representative, now);
+    // A message received from the representative itself is for all hosts of this domain.
+    bool const is_relayed = sender != representative;
     if (is_relayed)
         this->context.reach.record_message(sender, now);
     this->send_through_relays(
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -16,27 +16,27 @@
 
 namespace Serving {
 
-/// Talk between the entry hosts. A host learns of the others from the platform's table at its start, tells those of its
-/// failure domain that it is there, and they learn of it from that. Hosts of one domain tell each other of every
-/// placement at once. Between domains the hosts that speak for them tell what all of their hosts have running, and who
-/// hears that passes it on inside its own domain. So what a host sends, and the connections that it keeps, grow with
-/// its domain and with the number of domains, not with the number of hosts.
+/// The messages between the entry hosts. A host reads the addresses of the others from the platform's table at its
+/// start and announces itself to those of its failure domain. Hosts of one domain announce every placement to each
+/// other at once. Between domains, the representatives of a domain report what all of its hosts have running, and each
+/// receiver forwards the report within its own domain. The number of messages and connections of a host thus grows with
+/// the size of its domain and with the number of domains, not with the total number of hosts.
 class PeerLink {
 public:
     struct Observer {
-        /// Another host says that a backend server is leaving.
+        /// Another host reports that a backend server is leaving.
         std::function<void(EngineId const&, ServerStart, std::optional<Instant> ends_at)> backend_leaves;
-        /// Another host says that another process answers where a backend server was.
+        /// Another host reports that another process responds at the address of a backend server.
         std::function<void(EngineId const&, ServerStart, Address const&)> backend_terminated {
             [](EngineId const&, ServerStart, Address const&) {}
         };
-        /// Changes of a table of the platform. `is_local_sender`: from this host's own domain.
+        /// An update of a platform table was received. `is_local_sender`: the sender is in this host's domain.
         std::function<void(wire::PlatformNews const&, bool is_local_sender)> update_received;
-        /// Another host knows a change of this version of a table; it can be asked for it.
+        /// Another host knows a table up to the version `last_change`, and can be queried for the changes.
         std::function<void(std::string const& table, u64 last_change, Address const& host)> progress_received;
-        /// What is kept of a table's changes after a version.
+        /// Returns the logged updates of a table after a version.
         std::function<std::vector<wire::PlatformNews>(std::string const& table, u64 version)> updates_since;
-        /// How far this host has followed the platform's tables.
+        /// Returns the last known change of each platform table that this host follows.
         std::function<std::vector<std::pair<std::string, u64>>()> own_progress;
     };
 
@@ -45,28 +45,28 @@
     void start();
     [[nodiscard]] Address const& address() const { return this->transport.announced_address(); }
 
-    /// Takes in the platform's table of hosts, this one among them or not.
+    /// Applies the platform's table of hosts, which may contain this host.
     void update_known_hosts(std::vector<KnownHost> hosts);
     void backend_added(Backend& backend) { this->use.apply_to(backend); }
-    /// Tells the others that a backend server is leaving; the platform may not have told them.
+    /// Announces to the other hosts that a backend server is leaving, in case they have not read it from the platform.
     void announce_leaving(Backend const&);
-    /// Tells the others of a backend server that refuses requests.
+    /// Announces a backend server that refuses requests.
     void announce_refusals(Backend const&);
-    /// Tells the others of a backend server in whose place another process answers.
+    /// Announces that another process responds at the address of a backend server.
     void announce_termination(BackendServer const&);
-    /// Tells the others of the limit that a backend server has named.
+    /// Announces the rate limit that a backend server has reported.
     void announce_limit(Backend const&);
-    /// Tells the others what this host has found out of a request under which servers end.
+    /// Announces what this host knows of a request during which servers have terminated.
     void announce_request_termination(RequestFingerprint const&);
-    /// Tells the hosts of this domain of a backend server that cannot be connected to.
+    /// Announces, to the hosts of this domain only, a backend server to which no connection can be established.
     void announce_unreachable(Backend const&, Duration avoided);
-    /// Passes on changes of a table that this host has read, to the hosts of this domain and to one of each other
+    /// Sends an update of a table that this host has read to the hosts of this domain and to one host of each other
     /// domain.
     void announce_update(wire::PlatformNews);
-    /// Asks another host for the changes of a table after this version.
+    /// Requests the updates of a table after this version from another host.
     void fetch_updates(Address const& host, std::string const& table, u64 version);
-    /// Passes on changes that another host has read: within this domain to whom that one names, from another domain to
-    /// all of this one.
+    /// Forwards an update that another host has read. An update from this domain goes to the receivers that its sender
+    /// names, one from another domain to all hosts of this domain.
     void relay(wire::PlatformNews const&, bool is_local_sender);
 
 private:
@@ -103,13 +103,14 @@
     AK::Timer digest_timer;
     AK::Timer delta_timer;
     AK::Timer domain_delta_timer;
-    /// Of this host's failure domain.
+    /// The other hosts of this host's failure domain.
     std::set<Address> peers;
     PeerUse use;
     OwnUse last_sent_to_hosts { UseScope::Host };
     OwnUse last_sent_to_domains { UseScope::Domain };
     u32 rounds { 0 };
     u64 remote_messages_sent { 0 };
+    /// Start of the current one-second window, and the number of unreachable servers announced in it.
     Instant unreachable_window_start {};
     u32 unreachable_announced { 0 };
     bool delta_pending { false };
