--- a/Libraries/LibServing/TableUpdateRows.cpp
+++ b/Libraries/LibServing/TableUpdateRows.cpp
@@ -42,7 +42,7 @@
     return result;
 }
 
-void put_rows(wire::PlatformNews& update, std::vector<Platform::RowChange> const& changes, size_t most_bytes)
+void put_rows(wire::PlatformNews& update, std::vector<Platform::RowChange> const& changes, size_t max_bytes)
 {
     wire::TableRows rows;
     for (auto const& change : changes) {
@@ -53,7 +53,7 @@
         row.set_removed(change.removed);
     }
     auto packed = deflated(rows.SerializeAsString());
-    if (packed.size() > most_bytes)
+    if (packed.size() > max_bytes)
         return;
     update.set_has_rows(true);
     update.set_packed_rows(std::move(packed));
--- a/Libraries/LibServing/TableUpdateRows.h
+++ b/Libraries/LibServing/TableUpdateRows.h
@@ -12,9 +12,9 @@
 
 namespace Serving {
 
-/// Writes rows into `update`, packed. Does nothing when more than `most_bytes` would be left of them: the receivers
+/// Writes rows into `update`, packed. Does nothing when more than `max_bytes` would be left of them: the receivers
 /// then read them from the platform.
-void put_rows(wire::PlatformNews& update, std::vector<Platform::RowChange> const& changes, size_t most_bytes);
+void put_rows(wire::PlatformNews& update, std::vector<Platform::RowChange> const& changes, size_t max_bytes);
 
 /// The rows in `update`; empty when it has none.
 /// Errors: InvalidRequest when packed rows cannot be unpacked.
