--- a/Libraries/LibServing/TableUpdateRows.cpp
+++ b/Libraries/LibServing/TableUpdateRows.cpp
@@ -13,7 +13,7 @@
 namespace Serving {
 
 /// Unpacked rows beyond this are not taken: the platform's rows are some ten kilobytes each.
-static constexpr size_t most_unpacked_bytes = 4 << 20;
+static constexpr size_t max_unpacked_bytes = 4 << 20;
 static constexpr size_t unpacking_step_bytes = 16 << 10;
 
 static std::string deflated(std::string const& bytes)
@@ -31,7 +31,7 @@
     Poco::InflatingInputStream stream(packed, Poco::InflatingStreamBuf::STREAM_ZLIB);
     std::string result;
     std::array<char, unpacking_step_bytes> step {};
-    while (stream && result.size() <= most_unpacked_bytes) {
+    while (stream && result.size() <= max_unpacked_bytes) {
         stream.read(step.data(), step.size());
         result.append(step.data(), static_cast<size_t>(stream.gcount()));
     }
