--- a/Libraries/LibServing/TableUpdateLog.cpp
+++ b/Libraries/LibServing/TableUpdateLog.cpp
@@ -14,19 +14,19 @@
     // Who is to pass it on is for its first receiver only.
     update.clear_relay_to();
     auto place = std::ranges::lower_bound(
-        this->kept, update.version(), {}, [](wire::PlatformNews const& known) { return known.version(); });
-    if (place != this->kept.end() && place->version() == update.version())
+        this->updates, update.version(), {}, [](wire::PlatformNews const& known) { return known.version(); });
+    if (place != this->updates.end() && place->version() == update.version())
         return;
-    this->kept.insert(place, std::move(update));
-    if (this->kept.size() > max_kept)
-        this->kept.pop_front();
+    this->updates.insert(place, std::move(update));
+    if (this->updates.size() > max_kept)
+        this->updates.pop_front();
 }
 
 std::vector<wire::PlatformNews> TableUpdateLog::since(u64 version) const
 {
     std::vector<wire::PlatformNews> following;
     auto known = version;
-    for (auto const& update : this->kept) {
+    for (auto const& update : this->updates) {
         if (update.version() <= known)
             continue;
         if (update.previous_change() > known)
--- a/Libraries/LibServing/TableUpdateLog.h
+++ b/Libraries/LibServing/TableUpdateLog.h
@@ -25,7 +25,7 @@
     [[nodiscard]] std::vector<wire::PlatformNews> since(u64 version) const;
 
 private:
-    std::deque<wire::PlatformNews> kept;
+    std::deque<wire::PlatformNews> updates;
 };
 
 }
