--- a/Libraries/LibServing/ServiceReachability.cpp
+++ b/Libraries/LibServing/ServiceReachability.cpp
@@ -10,14 +10,15 @@
 
 namespace Serving {
 
-/// How long a connection that could not be made speaks against a backend server. Longer than the one or two seconds
-/// that a balancer takes to send callers elsewhere; after it their requests test the server again.
-static constexpr Duration failed_connection_holds = 5s;
+/// How long a failed connection attempt marks a backend server as out of reach. This is longer than the one or two
+/// seconds that a load balancer needs to redirect callers. Afterwards their requests test the server again.
+static constexpr Duration failed_connection_lifetime = 5s;
 
-static bool is_out_of_reach(Backend const& backend, std::span<FailureDomainId const> silent_domains, Instant now)
+static bool is_unreachable(Backend const& backend, std::span<FailureDomainId const> silent_domains, Instant now)
 {
     bool const is_silent = std::ranges::find(silent_domains, backend.server.failure_domain) != silent_domains.end();
-    return is_silent && backend.health.unreachable_at && now - *backend.health.unreachable_at < failed_connection_holds;
+    return is_silent && backend.health.unreachable_at
+        && now - *backend.health.unreachable_at < failed_connection_lifetime;
 }
 
 std::vector<ServiceName> unreachable_services(BackendTable const& backends, RoutingTable const& routing,
@@ -25,17 +26,17 @@
 {
     if (silent_domains.empty())
         return {};
-    std::map<ServiceName, bool> can_be_reached;
+    std::map<ServiceName, bool> reachable_by_service;
     for (auto const& [id, backend] : backends.all()) {
         auto const& service = backend->server.service;
         if (!backend->takes_work() || !routing.find_service(service))
             continue;
-        auto& reached = can_be_reached[service];
-        reached = reached || !is_out_of_reach(*backend, silent_domains, now);
+        auto& is_reachable = reachable_by_service[service];
+        is_reachable = is_reachable || !is_unreachable(*backend, silent_domains, now);
     }
     std::vector<ServiceName> services;
-    for (auto const& [service, reached] : can_be_reached) {
-        if (!reached)
+    for (auto const& [service, is_reachable] : reachable_by_service) {
+        if (!is_reachable)
             services.push_back(service);
     }
     return services;
--- a/Libraries/LibServing/ServiceReachability.h
+++ b/Libraries/LibServing/ServiceReachability.h
@@ -12,12 +12,12 @@
 
 namespace Serving {
 
-/// Configured services of which this host can reach no backend server: all that serve are in failure domains whose
-/// hosts are silent, and the last connection to each could not be made. Callers of such a service are better off with
-/// the hosts of another domain, so a host that has one says that it is not ready.
+/// Returns the configured services of which this host can reach no backend server: all servers that accept work are in
+/// failure domains whose hosts are silent, and the last connection attempt to each of them failed. Hosts of another
+/// domain can serve the callers of these services, so a host with an unreachable service reports that it is not ready.
 ///
-/// Either sign alone is not enough: a host that hears no other may still reach all servers, and one server that takes
-/// no connections is most likely down.
+/// Both conditions are needed: a host that receives no messages from other hosts may still reach all servers, and a
+/// server that accepts no connections has most likely terminated.
 std::vector<ServiceName> unreachable_services(
     BackendTable const&, RoutingTable const&, std::span<FailureDomainId const> silent_domains, Instant now);
 
--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -13,8 +13,9 @@
 
 namespace Serving {
 
-/// What hosts tell each other of the platform's tables, so that few of them ask the platform: who reads a change passes
-/// it on, who has missed one asks others for it, and the platform only when they do not answer.
+/// Exchanges updates of the platform's tables between hosts, so that only few hosts poll the platform. A host that
+/// reads an update forwards it. A host that has missed one requests it from other hosts, and from the platform only if
+/// these do not respond.
 template<Platform::ChangeSource Store>
 class TableUpdateExchange {
 public:
@@ -29,9 +30,9 @@
     {
     }
 
-    /// This host has read changes of a table. One host of the domain passes them on. A further one that reads too is
-    /// there for when that one fails: until it takes over, the others learn from whole messages that they have missed
-    /// something.
+    /// Handles an update that this host has read from the platform. Only the primary reader of the domain forwards it.
+    /// The standby reader takes over if the primary reader fails; until then the other hosts detect missed updates by
+    /// the versions in full state messages.
     void announce(std::string_view table, Platform::TableUpdate const& update)
     {
         wire::PlatformNews message;
@@ -45,14 +46,14 @@
             this->peers.announce_update(std::move(message));
     }
 
-    /// Another host has read changes, or passes on those that a third one has read.
+    /// Handles an update that another host has read or forwarded.
     void handle_update(wire::PlatformNews const& message, bool is_local_sender)
     {
         auto* follower = this->follower_of(message.table());
         if (!follower)
             return;
         bool const is_known = message.version() <= follower->version();
-        // What came from another domain is news to this one, unless its own reader has told it already.
+        // An update from another domain is unknown to this domain, unless this domain's reader has sent it already.
         if (is_local_sender || !is_known)
             this->peers.relay(message, is_local_sender);
         if (is_known)
@@ -73,31 +74,32 @@
         follower->receive_update(std::move(update));
     }
 
-    /// `host` knows a change of this version of a table.
+    /// Handles a report that `host` knows a table up to the version `last_change`.
     void handle_progress(std::string const& table, u64 last_change, Address const& host)
     {
         auto* follower = this->follower_of(table);
         if (!follower || last_change <= follower->version())
             return;
-        this->last_ahead = host;
+        this->last_host_ahead = host;
         follower->catch_up(last_change);
     }
 
-    /// Changes that other hosts know have not come: the one that said so last is asked for them.
+    /// Requests updates that other hosts know but that have not arrived, from the host that last reported a newer
+    /// version.
     void fetch_from_peers(std::string_view table, u64 version)
     {
-        if (this->last_ahead)
-            this->peers.fetch_updates(*this->last_ahead, std::string(table), version);
+        if (this->last_host_ahead)
+            this->peers.fetch_updates(*this->last_host_ahead, std::string(table), version);
     }
 
-    /// What this host can give to another one that knows a table up to `version`.
+    /// The logged updates for another host that knows a table up to `version`.
     [[nodiscard]] std::vector<wire::PlatformNews> since(std::string const& table, u64 version) const
     {
         auto log = this->logs.find(table);
         return log == this->logs.end() ? std::vector<wire::PlatformNews>() : log->second.since(version);
     }
 
-    /// The newest change of each table that this host knows.
+    /// The last change of each table that this host knows.
     [[nodiscard]] std::vector<std::pair<std::string, u64>> own_progress() const
     {
         std::vector<std::pair<std::string, u64>> progress;
@@ -107,8 +109,8 @@
     }
 
 private:
-    /// Larger news are read from the platform. Sent to a relay's receivers, 100 ms of a link of 10 Mbit/s; a
-    /// configuration of 45 routes is 2.2 KB when packed.
+    /// Hosts read larger updates from the platform. Sending an update of this size to a relay's receivers takes 100 ms
+    /// on a 10 Mbit/s link; a configuration of 45 routes is 2.2 KB when packed.
     static constexpr size_t max_update_bytes = 16 << 10;
 
     Follower* follower_of(std::string_view table) const
@@ -122,8 +124,8 @@
     BackendList& backends;
     Followers followers;
     std::map<std::string, TableUpdateLog> logs;
-    /// The host that last knew a change that this one did not.
-    std::optional<Address> last_ahead;
+    /// The host that last reported a version newer than the one known here.
+    std::optional<Address> last_host_ahead;
 };
 
 }
--- a/Libraries/LibServing/TableUpdateLog.cpp
+++ b/Libraries/LibServing/TableUpdateLog.cpp
@@ -11,7 +11,7 @@
 
 void TableUpdateLog::add(wire::PlatformNews update)
 {
-    // Who is to pass it on is for its first receiver only.
+    // The relay list is meant for the first receiver only.
     update.clear_relay_to();
     auto place = std::ranges::lower_bound(
         this->updates, update.version(), {}, [](wire::PlatformNews const& known) { return known.version(); });
--- a/Libraries/LibServing/TableUpdateLog.h
+++ b/Libraries/LibServing/TableUpdateLog.h
@@ -13,15 +13,15 @@
 
 namespace Serving {
 
-/// The latest changes of one table of the platform as hosts tell them, kept for hosts that have missed some: each that
-/// asks another host saves a call of the platform.
+/// A log of the latest updates of one platform table, kept for hosts that have missed some of them. Each update that a
+/// host requests from another host saves a request to the platform.
 class TableUpdateLog {
 public:
-    /// Changes of some seconds when a sixth of 130 backend servers is replaced every three seconds.
+    /// Holds the updates of several seconds when a sixth of 130 backend servers is replaced every three seconds.
     static constexpr size_t max_kept = 64;
 
     void add(wire::PlatformNews);
-    /// What follows `version` without a gap, in order; nothing when that is not kept any more.
+    /// The updates after `version`, in order; empty if they are no longer logged or there is a gap between them.
     [[nodiscard]] std::vector<wire::PlatformNews> since(u64 version) const;
 
 private:
--- a/Libraries/LibServing/TableUpdateRows.cpp
+++ b/Libraries/LibServing/TableUpdateRows.cpp
@@ -12,7 +12,7 @@
 
 namespace Serving {
 
-/// Unpacked rows beyond this are not taken: the platform's rows are some ten kilobytes each.
+/// Upper bound of the decompressed size of an update that is accepted. A row of the platform has some ten kilobytes.
 static constexpr size_t max_unpacked_bytes = 4 << 20;
 static constexpr size_t unpacking_step_bytes = 16 << 10;
 
@@ -35,9 +35,9 @@
         stream.read(step.data(), step.size());
         result.append(step.data(), static_cast<size_t>(stream.gcount()));
     }
-    // Bytes that are no packed rows set the stream's bad bit; what is too large has not been read to its end.
+    // Invalid compressed data sets the stream's bad bit; data over the limit has not been read to its end.
     if (stream.bad() || !stream.eof())
-        return Error { ErrorKind::InvalidRequest, "packed rows cannot be unpacked; they are read from the platform",
+        return Error { ErrorKind::InvalidRequest, "the rows cannot be decompressed; reading them from the platform",
             {} };
     return result;
 }
@@ -67,7 +67,7 @@
     TRY(auto bytes, inflated(update.packed_rows()));
     wire::TableRows rows;
     if (!rows.ParseFromString(bytes))
-        return Error { ErrorKind::InvalidRequest, "packed rows are no rows; they are read from the platform", {} };
+        return Error { ErrorKind::InvalidRequest, "the rows cannot be parsed; reading them from the platform", {} };
     for (auto const& row : rows.rows())
         changes.push_back({ { row.key(), row.value(), row.version() }, row.removed() });
     return changes;
--- a/Libraries/LibServing/TableUpdateRows.h
+++ b/Libraries/LibServing/TableUpdateRows.h
@@ -12,12 +12,12 @@
 
 namespace Serving {
 
-/// Writes rows into `update`, packed. Does nothing when more than `max_bytes` would be left of them: the receivers
-/// then read them from the platform.
+/// Writes rows into `update`, compressed. Does nothing if they exceed `max_bytes` when compressed: the receivers then
+/// read them from the platform.
 void put_rows(wire::PlatformNews& update, std::vector<Platform::RowChange> const& changes, size_t max_bytes);
 
-/// The rows in `update`; empty when it has none.
-/// Errors: InvalidRequest when packed rows cannot be unpacked.
+/// Returns the rows in `update`; empty if it has none.
+/// Errors: InvalidRequest if the rows cannot be decompressed or parsed.
 Result<std::vector<Platform::RowChange>> rows_of(wire::PlatformNews const& update);
 
 }
