--- a/Libraries/LibServing/EnginePoller.h
+++ b/Libraries/LibServing/EnginePoller.h
@@ -13,7 +13,7 @@
 
 namespace Serving {
 
-/// Asks engines how they are: each one from time to time, and one that is leaving when it will end.
+/// Polls engines for their state, periodically, and polls leaving engines for the time at which they will terminate.
 template<Dialect D>
 class EnginePoller {
 public:
@@ -28,23 +28,23 @@
     void handle_engine_leaving(BackendPointer const& backend)
     {
         if (this->is_engine(*backend) && backend->engine.own_generations > 0)
-            this->ask(backend);
+            this->poll(backend);
     }
 
 private:
-    /// Each question costs the engine something, so one host asks for all, and tells the others of an engine that is
-    /// leaving: the platform may be away just then, and notice is as short as a second and a half. A host that is cut
-    /// off asks for itself.
+    /// Each poll puts load on the engine, so one host polls an engine on behalf of all hosts. It announces a leaving
+    /// engine to the others, since the platform may be unavailable at that time and the notice may be as short as a
+    /// second and a half. A partitioned host polls for itself.
     static constexpr Duration period = 350ms;
-    /// Of every so many rounds of a host that is cut off one asks all engines of its own domain, since the others' work
-    /// there is not known; the rest asks only those that run its own generations.
-    static constexpr u32 rounds_to_ask_near = 4;
-    /// Engines without work of this host of which about so many are asked in such a round. A domain may have hundreds,
-    /// and a host that is short of its link would only make that worse.
-    static constexpr double idle_asked_in_a_round = 16;
-    static constexpr Duration answer_patience = 1s;
-    /// How old a report may be when it comes.
-    static constexpr Duration report_age = 600ms;
+    /// A partitioned host does not know the other hosts' work at engines. Once in this many rounds it polls all engines
+    /// of its own domain; in the other rounds it polls only the engines that run its own generations.
+    static constexpr u32 rounds_between_domain_polls = 4;
+    /// Average number of engines without work of this host that it polls in such a round. A domain may have hundreds of
+    /// engines, and polling all of them would increase the load on a link that may be overloaded already.
+    static constexpr double idle_polls_per_round = 16;
+    static constexpr Duration response_timeout = 1s;
+    /// Upper bound of the age of a report when it arrives.
+    static constexpr Duration max_report_age = 600ms;
 
     [[nodiscard]] bool is_engine(Backend const& backend) const
     {
@@ -60,20 +60,20 @@
         this->timer.async_wait([this](boost::system::error_code error) {
             if (error)
                 return;
-            this->ask_round();
+            this->poll_round();
             this->schedule();
         });
     }
 
-    void ask_round()
+    void poll_round()
     {
         ++this->rounds;
-        this->near_count = std::ranges::count_if(
+        this->local_count = std::ranges::count_if(
             this->context.backends.all(), [this](auto const& entry) { return this->is_local(*entry.second); });
         bool const is_partitioned = this->context.reach.is_partitioned(this->context.now());
         for (auto const& backend : this->context.backends.running()) {
             if (this->is_engine(*backend) && this->wants_report_of(*backend, is_partitioned))
-                this->ask(backend);
+                this->poll(backend);
         }
     }
 
@@ -85,15 +85,15 @@
             return false;
         if (is_partitioned && backend.engine.own_generations > 0)
             return true;
-        if (is_partitioned && this->rounds % rounds_to_ask_near == 0 && this->is_local(backend))
-            return this->draws_idle_engine();
+        if (is_partitioned && this->rounds % rounds_between_domain_polls == 0 && this->is_local(backend))
+            return this->samples_idle_engine();
         return backend.engine.generations() > 0 && this->is_responsible_for(backend);
     }
 
-    [[nodiscard]] bool draws_idle_engine()
+    [[nodiscard]] bool samples_idle_engine()
     {
         boost::random::uniform_real_distribution<double> chance(0, 1);
-        return chance(this->context.random) * static_cast<double>(this->near_count) < idle_asked_in_a_round;
+        return chance(this->context.random) * static_cast<double>(this->local_count) < idle_polls_per_round;
     }
 
     [[nodiscard]] bool is_responsible_for(Backend const& backend) const
@@ -108,58 +108,60 @@
         return backend.server.failure_domain == this->context.settings.failure_domain;
     }
 
-    /// The first report after an engine's notice is often from before it, and does not tell when it ends. That holds as
-    /// well for one that is off the list already: asked once only, many moves come without their second copy.
+    /// The first report after an engine's leaving notice was often made before the notice, and does not contain the
+    /// termination time. The same holds for an engine that has been removed from the list. If such an engine is polled
+    /// only once, many generations are moved without their second copy.
     [[nodiscard]] bool wants_end_of(Backend const& backend) const
     {
         return backend.engine.own_generations > 0 && !backend.ends_at;
     }
 
-    void ask(BackendPointer const& backend)
+    void poll(BackendPointer const& backend)
     {
         if (std::exchange(backend->engine.poll_in_flight, true))
             return;
         auto connection = this->context.connections.acquire(backend->endpoint);
         auto body = std::make_shared<std::string>();
-        auto patience = std::make_shared<AK::Timer>(this->context.loop, answer_patience);
-        auto is_answered = std::make_shared<bool>(false);
-        auto notice = std::make_shared<BackendResponseHead>();
-        patience->async_wait([connection, backend, is_answered](boost::system::error_code error) {
-            // The answer may have come in the same turn of the loop, and the connection be in use again.
-            if (error || *is_answered)
+        auto timeout = std::make_shared<AK::Timer>(this->context.loop, response_timeout);
+        auto has_response = std::make_shared<bool>(false);
+        auto response_head = std::make_shared<BackendResponseHead>();
+        timeout->async_wait([connection, backend, has_response](boost::system::error_code error) {
+            // The response may have arrived in the same event loop iteration, and the connection may be in use again.
+            if (error || *has_response)
                 return;
             connection->cancel();
             backend->engine.poll_in_flight = false;
         });
         Http::ExchangeObserver observer {
-            [notice](Http::ResponseHead const& head) {
-                *notice = D::decode_response(head);
+            [response_head](Http::ResponseHead const& head) {
+                *response_head = D::decode_response(head);
                 return Http::HeadVerdict::Take;
             },
             [body](std::string_view piece) { *body += piece; },
-            [this, backend, body, notice, patience, is_answered, connection](
+            [this, backend, body, response_head, timeout, has_response, connection](
                 Http::ExchangeEnd end, std::string const& reason) {
-                *is_answered = true;
-                patience->cancel();
+                *has_response = true;
+                timeout->cancel();
                 backend->engine.poll_in_flight = false;
                 this->context.connections.release(connection);
                 auto report = D::decode_engine_report(*body);
                 if (!report || is_from(*backend, report.value()))
-                    apply_server_notice(this->context, *backend, *notice);
-                this->answered(*backend, end, reason, report);
+                    apply_server_notice(this->context, *backend, *response_head);
+                this->handle_response(*backend, end, reason, report);
             },
         };
         connection->exchange(
             D::engine_report_request(*backend), std::move(observer), connect_timeout, backend_silence_limit);
     }
 
-    /// Another process may have the address, under this id or another one.
+    /// Whether a report comes from this backend server. Another process may use its address, with the same or another
+    /// id.
     [[nodiscard]] static bool is_from(Backend const& backend, EngineReport const& report)
     {
         return !report.start || backend.matches_start(*report.start);
     }
 
-    void answered(
+    void handle_response(
         Backend& backend, Http::ExchangeEnd end, std::string const& reason, Result<EngineReport> const& report)
     {
         auto now = this->context.now();
@@ -175,7 +177,7 @@
             return;
         }
         if (!is_from(backend, report.value())) {
-            // An earlier process cannot have the address again.
+            // Only a later process can use the address: an earlier one cannot get it back.
             if (backend.server.start < *report.value().start)
                 this->context.backend_terminated(backend);
             return;
@@ -183,16 +185,16 @@
         backend.engine.report = report.value();
         backend.engine.report_received_at = now;
         if (report.value().ends_in)
-            this->note_end(backend, *report.value().ends_in);
+            this->record_termination_time(backend, *report.value().ends_in);
         if (report.value().is_leaving && backend.availability == Availability::Serving)
             this->context.backend_leaves(backend);
     }
 
-    void note_end(Backend& backend, Duration ends_in)
+    void record_termination_time(Backend& backend, Duration ends_in)
     {
-        auto told = this->context.now() + ends_in - report_age;
-        // The shortest word is the one that was least old.
-        backend.ends_at = backend.ends_at ? std::min(*backend.ends_at, told) : told;
+        auto ends_at = this->context.now() + ends_in - max_report_age;
+        // The earliest estimate comes from the report that was least old on arrival.
+        backend.ends_at = backend.ends_at ? std::min(*backend.ends_at, ends_at) : ends_at;
         this->context.log.event(Core::EventNumber::EngineLeaving, backend.server.id.value())
             .with("ends_in_ms", ends_in)
             .with("own_generations", backend.engine.own_generations);
@@ -201,7 +203,7 @@
     ServingContext& context;
     AK::Timer timer;
     u32 rounds { 0 };
-    i64 near_count { 0 };
+    i64 local_count { 0 };
 };
 
 }
