--- a/Tests/LibServing/TestBackendList.cpp
+++ b/Tests/LibServing/TestBackendList.cpp
@@ -35,29 +35,29 @@
     list.apply_list({ server("s1"), server("s2") });
     REQUIRE(context.backends.all().size() == 2);
 
-    WHEN("an entry goes while the platform is well")
+    WHEN("an entry is removed while the platform is available")
     {
         list.handle_removal(EngineId("s1"));
         CHECK_FALSE(context.backends.find(EngineId("s1")));
         CHECK(left == std::vector<std::string> { "s1" });
     }
-    WHEN("an entry goes just after the platform came back")
+    WHEN("an entry is removed just after the platform has recovered")
     {
         list.handle_platform_recovery(2s);
         list.handle_removal(EngineId("s1"));
-        THEN("it is kept for as long as a live one may take to come back")
+        THEN("the removal is deferred for as long as a running server may need to register again")
         {
             now += 1900ms;
             list.tick();
             CHECK(context.backends.find(EngineId("s1")));
-            AND_WHEN("it comes back")
+            AND_WHEN("the server registers again")
             {
                 list.apply_entry(server("s1"));
                 now += 10s;
                 list.tick();
                 CHECK(context.backends.find(EngineId("s1")));
             }
-            AND_WHEN("it does not")
+            AND_WHEN("the server does not register again")
             {
                 now += 200ms;
                 list.tick();
@@ -65,19 +65,19 @@
             }
         }
     }
-    WHEN("another host says that one is leaving")
+    WHEN("another host reports that a server is leaving")
     {
         list.handle_leaving(EngineId("s2"), ServerStart(0), now + 1s);
         auto backend = context.backends.find(EngineId("s2"));
         CHECK(backend->availability == Availability::Leaving);
         CHECK(backend->ends_at == now + 1s);
-        THEN("the platform's own word later changes nothing more")
+        THEN("a later entry of the platform has no further effect")
         {
             list.apply_entry(server("s2", true));
             CHECK(left == std::vector<std::string> { "s2" });
         }
     }
-    WHEN("the list is read anew and one is missing")
+    WHEN("the list is read again and a server is missing")
     {
         list.apply_list({ server("s2") });
         CHECK_FALSE(context.backends.find(EngineId("s1")));
--- a/Tests/LibServing/TestServerIdentity.cpp
+++ b/Tests/LibServing/TestServerIdentity.cpp
@@ -26,9 +26,9 @@
     return made;
 }
 
-/// What one host believes of one backend server, from every source that there is.
-struct Believer {
-    Believer()
+/// A host's view of one backend server, with every source that can change it.
+struct HostView {
+    HostView()
     {
         this->context.clock = [this] { return this->now; };
     }
@@ -70,22 +70,22 @@
 
 SCENARIO("a backend server that starts again under its id is another server")
 {
-    Believer host;
+    HostView host;
     host.list.apply_entry(row(1'000));
     auto const former = host.backend();
     former->engine.own_generations = 3;
     former->engine.own_tokens = 9000;
     host.peer_has(1'000, 5000);
     CHECK(former->engine.tokens() == 14'000);
-    int told_ends = 0;
-    auto token = former->observe_termination([&] { ++told_ends; });
+    int terminations = 0;
+    auto token = former->observe_termination([&] { ++terminations; });
 
     WHEN("its new start is listed")
     {
         record_failure(*former, host.now, true);
         host.list.apply_entry(row(1'000, true));
         host.list.apply_entry(row(2'000));
-        THEN("nothing of the former one holds for it")
+        THEN("it inherits no state of the former start")
         {
             REQUIRE(host.backend());
             CHECK(host.backend() != former);
@@ -94,14 +94,14 @@
             CHECK_FALSE(host.backend()->is_avoided(host.now));
             CHECK(host.context.backends.of_service(ServiceName("models")).size() == 1);
         }
-        THEN("what was under way at the former one has ended") { CHECK(told_ends == 1); }
-        AND_WHEN("a list that lags still has the former one, which was leaving")
+        THEN("requests that were running at the former start have ended") { CHECK(terminations == 1); }
+        AND_WHEN("an outdated list still has the former start, which was leaving")
         {
             host.list.apply_entry(row(1'000, true));
             CHECK(host.backend()->server.start == ServerStart(2'000));
             CHECK(host.takes_work());
         }
-        AND_WHEN("others still speak of the former one")
+        AND_WHEN("other hosts still send messages about the former start")
         {
             host.peer_has(1'000, 7000);
             host.peer_cannot_connect(1'000, "host-2");
@@ -112,25 +112,25 @@
             CHECK(host.backend()->engine.tokens() == 0);
             CHECK_FALSE(host.backend()->is_avoided(host.now));
         }
-        AND_WHEN("others speak of the new one")
+        AND_WHEN("other hosts send messages about the new start")
         {
             host.peer_has(2'000, 7000);
             CHECK(host.backend()->engine.tokens() == 7000);
             host.list.handle_leaving(id, ServerStart(2'000), {});
             CHECK_FALSE(host.takes_work());
         }
-        AND_WHEN("its entry goes, and one of the former start comes")
+        AND_WHEN("its entry is removed, and an entry of the former start is added")
         {
             host.list.handle_removal(id);
             host.list.apply_entry(row(1'000));
             CHECK_FALSE(host.backend());
         }
     }
-    WHEN("others speak of the new start before it is listed here")
+    WHEN("other hosts send messages about the new start before this host has its entry")
     {
         host.peer_has(2'000, 7000);
-        THEN("the known one does not have that work") { CHECK(former->engine.tokens() == 9000); }
-        AND_WHEN("it is listed")
+        THEN("their work is not added to the known start") { CHECK(former->engine.tokens() == 9000); }
+        AND_WHEN("the entry arrives")
         {
             host.list.apply_entry(row(2'000));
             CHECK(host.backend()->engine.tokens() == 7000);
@@ -138,9 +138,9 @@
     }
 }
 
-SCENARIO("an entry that does not tell its start is about the server that is known")
+SCENARIO("an entry without a start refers to the known server")
 {
-    Believer host;
+    HostView host;
     host.list.apply_entry(row(1'000));
     host.list.mark_unusable(id);
     host.list.apply_entry(row(0));
@@ -154,17 +154,17 @@
     CHECK(host.takes_work());
 }
 
-SCENARIO("a backend server in whose place another process answers takes no more work")
+SCENARIO("a backend server gets no new work once another process responds at its address")
 {
-    Believer host;
+    HostView host;
     host.list.apply_entry(row(1'000));
     auto const former = host.backend();
-    int told_ends = 0;
-    auto token = former->observe_termination([&] { ++told_ends; });
+    int terminations = 0;
+    auto token = former->observe_termination([&] { ++terminations; });
     host.list.handle_termination(id, ServerStart(1'000), Address("127.0.0.1:1000"));
     CHECK_FALSE(host.takes_work());
-    THEN("what is under way goes on") { CHECK(told_ends == 0); }
-    WHEN("the list still has it")
+    THEN("running requests continue") { CHECK(terminations == 0); }
+    WHEN("the list still contains it")
     {
         host.list.apply_list({ row(1'000) });
         host.list.apply_entry(row(1'000, true));
@@ -174,7 +174,7 @@
     {
         host.list.apply_entry(row(1'000, false, 1001));
         CHECK(host.takes_work());
-        AND_WHEN("word of its former address comes late")
+        AND_WHEN("a message about its former address arrives late")
         {
             host.list.handle_termination(id, ServerStart(1'000), Address("127.0.0.1:1000"));
             CHECK(host.takes_work());
@@ -184,60 +184,61 @@
     {
         host.list.apply_entry(row(2'000));
         CHECK(host.takes_work());
-        CHECK(told_ends == 1);
+        CHECK(terminations == 1);
     }
 }
 
 SCENARIO("an entry that cannot be used names no server to give work to")
 {
-    Believer host;
+    HostView host;
     host.list.apply_list({ row(1'000) }, { EngineId("never known") });
     CHECK(host.context.backends.all().size() == 1);
     host.list.mark_unusable(id);
     CHECK_FALSE(host.takes_work());
-    THEN("what runs there goes on") { CHECK(host.left.empty()); }
-    WHEN("a good entry comes")
+    THEN("running requests continue") { CHECK(host.left.empty()); }
+    WHEN("a valid entry arrives")
     {
         host.list.apply_entry(row(1'000));
         CHECK(host.takes_work());
     }
-    WHEN("a good entry says that it leaves")
+    WHEN("a valid entry says that the server is leaving")
     {
         host.list.apply_entry(row(1'000, true));
         CHECK_FALSE(host.takes_work());
         CHECK(host.left == std::vector<i64> { 1'000 });
     }
-    WHEN("the list is read anew, and it is still unusable")
+    WHEN("the list is read again and the entry is still invalid")
     {
         host.list.apply_list({}, { id });
         CHECK_FALSE(host.takes_work());
         CHECK(host.backend());
     }
-    WHEN("the entry goes")
+    WHEN("the entry is removed")
     {
         host.list.apply_list({}, {});
         CHECK_FALSE(host.backend());
     }
 }
 
-/// What is right to believe of one id, told in any order: each start is a server of its own, and the latest one counts.
+/// The expected state of one id after messages in any order: each start is a server of its own, and the latest one
+/// counts.
 struct Model {
     i64 start { 0 };
     bool is_listed { false };
     bool is_leaving { false };
     bool is_unusable { false };
     bool has_terminated { false };
-    /// Starts that have said themselves that they leave.
-    std::set<i64> said_to_leave;
+    /// Starts that have announced themselves that they are leaving.
+    std::set<i64> announced_leaving;
 
-    void listed(i64 told, bool leaves)
+    void listed(i64 listed_start, bool leaves)
     {
-        if (told < this->start)
+        if (listed_start < this->start)
             return;
-        bool const is_anew = told > this->start || !this->is_listed;
-        this->start = told;
-        this->is_leaving = leaves || this->said_to_leave.contains(told) || (!is_anew && this->is_leaving);
-        this->has_terminated = !is_anew && this->has_terminated;
+        bool const is_new = listed_start > this->start || !this->is_listed;
+        this->start = listed_start;
+        this->is_leaving = leaves || this->announced_leaving.contains(listed_start) || (!is_new && this->is_leaving);
+        this->has_terminated = !is_new && this->has_terminated;
         this->is_unusable = false;
         this->is_listed = true;
     }
@@ -249,12 +250,12 @@
 
 SCENARIO("words of any start in any order leave what the latest start is")
 {
-    rc::prop("of list, hosts and servers", [](std::vector<std::pair<u8, u8>> const& words) {
-        Believer host;
+    rc::prop("of list, hosts and servers", [](std::vector<std::pair<u8, u8>> const& messages) {
+        HostView host;
         Model model;
         i64 last_peer_start = 0;
         i64 last_peer_tokens = 0;
-        for (auto const& [what, which] : words) {
+        for (auto const& [what, which] : messages) {
             i64 const start = 1'000 + which % 4;
             bool const is_this = model.is_listed && start == model.start;
             switch (what % 7) {
@@ -269,7 +270,7 @@
                 host.list.handle_leaving(id, ServerStart(start), {});
                 model.is_leaving = model.is_leaving || is_this;
                 if (is_this)
-                    model.said_to_leave.insert(start);
+                    model.announced_leaving.insert(start);
                 break;
             case 3:
                 host.list.handle_termination(id, ServerStart(start), Address("127.0.0.1:1000"));
--- a/Tests/LibServing/TestTables.cpp
+++ b/Tests/LibServing/TestTables.cpp
@@ -41,7 +41,7 @@
     CHECK(table.find_route("tolls.example", "/a") == nullptr);
     CHECK(table.find_route("other.example", "/a/x") == nullptr);
 
-    THEN("a split sends an attempt always to the same service, and shares of all to each")
+    THEN("a split always sends an attempt to the same service, and gives each service its share of all attempts")
     {
         auto const* split = table.find_route("tolls.example", "/a/x");
         int to_new = 0;
@@ -67,7 +67,7 @@
     leaving.is_leaving = true;
     table.update(leaving, now);
     CHECK(backend->availability == Availability::Leaving);
-    WHEN("an older row comes again")
+    WHEN("an older row is applied again")
     {
         table.update(server("s1"), now);
         CHECK(backend->availability == Availability::Leaving);
@@ -80,7 +80,7 @@
     }
 }
 
-SCENARIO("a backend server for a call is the least busy one that is sound")
+SCENARIO("a call goes to the least busy healthy backend server")
 {
     boost::random::mt19937 random(1);
     BackendTable table;
@@ -95,16 +95,16 @@
 
     CHECK(choose() == "near");
     CHECK(choose({ EngineId("near") }) == "far");
-    WHEN("the near one is clearly busier")
+    WHEN("the local server is clearly busier")
     {
         near->in_flight = 2;
         CHECK(choose() == "far");
     }
-    WHEN("the near one cannot be reached")
+    WHEN("the local server is unreachable")
     {
         record_failure(*near, now, true);
         CHECK(choose() == "far");
-        THEN("it is tried again when its time is over")
+        THEN("it is used again after the avoidance time")
         {
             inputs.now = now + 300ms;
             record_success(*near);
@@ -112,27 +112,27 @@
             CHECK(choose() == "near");
         }
     }
-    WHEN("the near one fails what it is given")
+    WHEN("requests to the local server fail")
     {
         for (int i = 0; i < 3; ++i)
             record_failure(*near, now, false);
         CHECK(choose() == "far");
         CHECK_FALSE(near->is_avoided(now));
     }
-    WHEN("the far one's domain is silent and the near one is avoided for a failed request")
+    WHEN("the remote server's domain is silent and the local server is busier")
     {
         inputs.silent_domains = { FailureDomainId("hall-b") };
         near->in_flight = 4;
         CHECK(choose() == "near");
     }
-    WHEN("all are leaving")
+    WHEN("all servers are leaving")
     {
         near->availability = far->availability = Availability::Leaving;
         CHECK(choose_for_call(all, {}, inputs, random) == nullptr);
     }
 }
 
-SCENARIO("a generation goes where prompts wait least and memory is not crowded")
+SCENARIO("a generation goes to the engine with the fewest unread prompt tokens and enough free memory")
 {
     boost::random::mt19937 random(1);
     BackendTable table;
@@ -148,18 +148,18 @@
     one->engine.own_unread_tokens = 3000;
     one->engine.own_tokens = 3000;
     CHECK(choose() == "two");
-    WHEN("another host has placed more on the other one")
+    WHEN("another host has placed more tokens on the other engine")
     {
         two->engine.peer_unread_tokens = 9000;
         two->engine.peer_tokens = 9000;
         CHECK(choose() == "one");
     }
-    WHEN("the other one reports that its memory is full")
+    WHEN("the other engine reports that its memory is full")
     {
         two->engine.report = EngineReport { 8, 0, TokenCount(33'000), TokenCount(34'000), false, {} };
         two->engine.report_received_at = now;
         CHECK(choose() == "one");
-        THEN("an old report is not believed")
+        THEN("an old report is ignored")
         {
             inputs.now = now + 10s;
             CHECK(choose() == "two");
@@ -169,9 +169,9 @@
 
 SCENARIO("engines that leave together spread their generations over the links of those that stay")
 {
-    // Ten engines of a pool leave within a moment, each with a few generations of 4,000 tokens; one that has just come
-    // is empty. A copy of that size takes 0.22 s of a link (164 KB a token, 24 Gbit/s), and a second and a half is
-    // left.
+    // Ten engines of a pool leave at nearly the same time, each with a few generations of 4,000 tokens. One engine has
+    // just been added and is empty. A copy of that size occupies a link for 0.22 s (164 KB per token, 24 Gbit/s), and
+    // the leaving engines terminate in a second and a half.
     boost::random::mt19937 random(1);
     BackendTable table;
     Instant const now { 10s };
@@ -185,12 +185,15 @@
             ->server.id.value();
     };
     CHECK(choose() == "empty");
-    WHEN("other hosts have two copies under way to the empty one")
+    WHEN("other hosts are copying two generations to the empty engine")
     {
         empty->engine.peer_incoming_tokens = 8'000;
         empty->engine.peer_tokens = 8'000;
-        THEN("the next one goes elsewhere, though there is more memory") { CHECK(choose() == "half-full"); }
-        THEN("a new generation, which needs no copy, still goes there")
+        THEN("the next copy goes to another engine, although the empty one has more free memory")
+        {
+            CHECK(choose() == "half-full");
+        }
+        THEN("a new generation, which needs no copy, still goes to the empty engine")
         {
             inputs.copied_tokens_per_second = {};
             CHECK(choose() == "empty");
@@ -198,7 +201,7 @@
     }
 }
 
-SCENARIO("a backend server that goes off the list may run on for some seconds")
+SCENARIO("a backend server that is removed from the list may run for some seconds more")
 {
     BackendTable table;
     Instant const now { 10s };
@@ -208,16 +211,16 @@
     CHECK_FALSE(table.find(EngineId("e1")));
     CHECK(table.find_running(EngineId("e1")) == engine);
     CHECK(table.running().size() == 1);
-    WHEN("it comes back")
+    WHEN("it is added again")
     {
         auto returned = table.update(server("e1"), now + 1s);
-        THEN("it is another one")
+        THEN("it is a new table entry")
         {
             CHECK(table.find_running(EngineId("e1")) == returned);
             CHECK(table.running().size() == 1);
         }
     }
-    WHEN("the longest time that it may run is over")
+    WHEN("the maximum run time after a removal is over")
     {
         table.expire_removed(now + 1min);
         CHECK_FALSE(table.find_running(EngineId("e1")));
