--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -189,7 +189,7 @@
     "Scenario: all hosts together repeat no more than the bound allows" \
     Libraries/LibServing/RetryBudget.cpp "account.spent_allowance.upper_bound_within(this->accounting_window(), now)" "0U"
 guard "hosts of other domains are counted as these say" TestLibServing \
-    "Scenario: a host counts all that may be serving, also those that it does not hear" \
+    "Scenario: a host counts all hosts that may be serving, including those that it cannot reach" \
     Libraries/LibServing/Reachability.cpp "= count.reported > 0 ? count.reported : count.known;" "= count.known;"
 guard "a later start is another server" TestLibServing "Scenario: words of any start in any order leave what the latest start is" \
     Libraries/LibServing/BackendTable.cpp " || known->server.start < server.start);" ");"
