--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -218,7 +218,7 @@
 guard "one host reads promptly for all" TestLibServing "Scenario: one host of all domains reads changes promptly for all" \
     Libraries/LibServing/Reachability.cpp "host.status.domain < this->own_domain && !is_silent" "false && !is_silent"
 guard "a service is out of reach by two signs" TestLibServing \
-    "Scenario: a domain that has no server of a service is cut off from those that have" \
+    "Scenario: a domain without a server of a service is partitioned from the domains that have one" \
     Libraries/LibServing/ServiceReachability.cpp "return is_silent && " "return "
 
 guard "completions: none for an object that is gone" TestLibCore \
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -11,10 +11,11 @@
 
 using namespace Serving;
 
-/// One entry host as far as its talk with others goes: it knows one engine, and keeps the news that it hears.
-class TalkingHost {
+/// The part of an entry host that exchanges messages with others. It knows one engine, and stores the updates that it
+/// receives.
+class PeerHost {
 public:
-    TalkingHost(Http::asio::io_context& loop, std::string const& name, std::string const& domain)
+    PeerHost(Http::asio::io_context& loop, std::string const& name, std::string const& domain)
         : settings(make_settings(name, domain))
         , context(loop, this->settings, this->log)
         , link(this->context, this->make_observer())
@@ -30,7 +31,7 @@
 
     [[nodiscard]] Address const& address() const { return this->link.address(); }
     [[nodiscard]] FailureDomainId const& domain() const { return this->settings.failure_domain; }
-    [[nodiscard]] u32 believed_generations() const { return this->engine->engine.generations(); }
+    [[nodiscard]] u32 estimated_generations() const { return this->engine->engine.generations(); }
     void place_generation()
     {
         ++this->engine->engine.own_generations;
@@ -53,15 +54,15 @@
         observer.backend_leaves
             = [this](EngineId const& id, ServerStart, std::optional<Instant>) { this->leaving.push_back(id.value()); };
         observer.update_received = [this](wire::PlatformNews const& message, bool is_local_sender) {
-            this->news.push_back(message.version());
+            this->updates.push_back(message.version());
             this->link.relay(message, is_local_sender);
         };
         observer.progress_received = [](std::string const&, u64, Address const&) {};
         observer.updates_since = [this](std::string const&, u64 version) {
             this->fetched_after = version;
-            wire::PlatformNews news;
-            news.set_version(version + 1);
-            return std::vector { news };
+            wire::PlatformNews update;
+            update.set_version(version + 1);
+            return std::vector { update };
         };
         observer.own_progress = [] { return std::vector<std::pair<std::string, u64>>(); };
         return observer;
@@ -74,15 +75,15 @@
     ServingContext context;
     PeerLink link;
     BackendPointer engine;
-    std::vector<u64> news;
+    std::vector<u64> updates;
     u64 fetched_after { 0 };
     std::vector<std::string> leaving;
 };
 
-/// Failure domains of a few hosts each, on one loop.
-class TalkingFleet {
+/// Several failure domains of a few hosts each, on one event loop.
+class PeerFleet {
 public:
-    TalkingFleet(std::vector<std::string> const& domains, int hosts_of_domain)
+    PeerFleet(std::vector<std::string> const& domains, int hosts_of_domain)
     {
         for (auto const& domain : domains)
             for (int i = 0; i < hosts_of_domain; ++i)
@@ -111,12 +112,12 @@
         Test::run_until(this->loop, [&] { return this->all_of(predicate); });
     }
 
-    /// All hosts of each domain hear each other, and each hears of all other domains.
-    void until_heard()
+    /// Runs until all hosts of each domain can reach each other and have received messages from all other domains.
+    void until_connected()
     {
-        this->until_all([&](TalkingHost const& host) {
+        this->until_all([&](PeerHost const& host) {
             auto now = host.context.now();
-            return this->all_of([&](TalkingHost const& other) {
+            return this->all_of([&](PeerHost const& other) {
                 return &other == &host
                     || (other.domain() == host.domain()
                             ? host.context.reach.is_reachable(other.address(), now)
@@ -125,119 +126,119 @@
         });
     }
 
-    [[nodiscard]] std::list<TalkingHost>::iterator speaker_of(std::string const& domain)
+    [[nodiscard]] std::list<PeerHost>::iterator representative_of(std::string const& domain)
     {
-        return std::ranges::find_if(this->hosts, [&](TalkingHost const& host) {
+        return std::ranges::find_if(this->hosts, [&](PeerHost const& host) {
             return host.domain() == FailureDomainId(domain)
                 && host.context.reach.representatives_before(host.address(), host.context.now()) == 0;
         });
     }
 
     Http::asio::io_context loop;
-    std::list<TalkingHost> hosts;
+    std::list<PeerHost> hosts;
 };
 
 SCENARIO("every host hears what all others place, through those that speak for their domains")
 {
-    TalkingFleet fleet({ "hall-a", "hall-b", "hall-c" }, 4);
-    fleet.until_heard();
+    PeerFleet fleet({ "hall-a", "hall-b", "hall-c" }, 4);
+    fleet.until_connected();
     fleet.hosts.front().place_generation();
-    fleet.until_all([](TalkingHost const& host) { return host.believed_generations() == 1; });
+    fleet.until_all([](PeerHost const& host) { return host.estimated_generations() == 1; });
     fleet.hosts.back().place_generation();
-    fleet.until_all([](TalkingHost const& host) { return host.believed_generations() == 2; });
+    fleet.until_all([](PeerHost const& host) { return host.estimated_generations() == 2; });
 
-    THEN("of another domain a host hears only those that speak for it")
+    THEN("a host receives messages only from the representatives of another domain")
     {
         for (auto const& host : fleet.hosts) {
-            auto heard_elsewhere = std::ranges::count_if(fleet.hosts, [&](TalkingHost const& other) {
+            auto reachable_remote_hosts = std::ranges::count_if(fleet.hosts, [&](PeerHost const& other) {
                 return other.domain() != host.domain()
                     && host.context.reach.is_reachable(other.address(), host.context.now());
             });
-            // Two other domains, and two hosts of each.
-            CHECK(heard_elsewhere <= 2 * static_cast<i64>(Reachability::representatives_per_domain));
+            // Two representatives of each of the two other domains.
+            CHECK(reachable_remote_hosts <= 2 * static_cast<i64>(Reachability::representatives_per_domain));
         }
     }
-    WHEN("a host has missed changes of the platform")
+    WHEN("a host has missed updates of the platform")
     {
-        auto& asker = fleet.hosts.front();
-        auto& asked = *std::next(fleet.hosts.begin());
-        asker.link.fetch_updates(asked.address(), "servers", 41);
-        Test::run_until(fleet.loop, [&] { return !asker.news.empty(); });
-        THEN("another one gives it those that it has kept")
+        auto& requester = fleet.hosts.front();
+        auto& responder = *std::next(fleet.hosts.begin());
+        requester.link.fetch_updates(responder.address(), "servers", 41);
+        Test::run_until(fleet.loop, [&] { return !requester.updates.empty(); });
+        THEN("another host sends it the updates from its log")
         {
-            CHECK(asked.fetched_after == 41);
-            CHECK(asker.news == std::vector<u64> { 42 });
+            CHECK(responder.fetched_after == 41);
+            CHECK(requester.updates == std::vector<u64> { 42 });
         }
     }
-    WHEN("a host says that an engine leaves")
+    WHEN("a host announces that an engine is leaving")
     {
         fleet.hosts.back().link.announce_leaving(*fleet.hosts.back().engine);
-        fleet.until_all([&](TalkingHost const& host) { return &host == &fleet.hosts.back() || !host.leaving.empty(); });
+        fleet.until_all([&](PeerHost const& host) { return &host == &fleet.hosts.back() || !host.leaving.empty(); });
     }
-    WHEN("a change of the platform is passed on")
+    WHEN("an update of the platform is forwarded")
     {
-        wire::PlatformNews news;
-        news.set_version(7);
-        fleet.speaker_of("hall-b")->link.announce_update(news);
-        auto const* teller = &*fleet.speaker_of("hall-b");
-        fleet.until_all([&](TalkingHost const& host) { return &host == teller || !host.news.empty(); });
-        THEN("each host hears it once")
+        wire::PlatformNews update;
+        update.set_version(7);
+        fleet.representative_of("hall-b")->link.announce_update(update);
+        auto const* sender = &*fleet.representative_of("hall-b");
+        fleet.until_all([&](PeerHost const& host) { return &host == sender || !host.updates.empty(); });
+        THEN("each host receives it once")
         {
-            CHECK(fleet.all_of([&](TalkingHost const& host) { return &host == teller || host.news.size() == 1; }));
+            CHECK(fleet.all_of([&](PeerHost const& host) { return &host == sender || host.updates.size() == 1; }));
         }
     }
-    WHEN("the host that speaks for a domain is gone")
+    WHEN("the first representative of a domain terminates")
     {
-        auto speaker = fleet.speaker_of("hall-b");
-        fleet.hosts.erase(speaker);
-        THEN("the next one speaks in its place")
+        auto representative = fleet.representative_of("hall-b");
+        fleet.hosts.erase(representative);
+        THEN("the next one takes over")
         {
             auto placing = std::ranges::find_if(
-                fleet.hosts, [](TalkingHost const& host) { return host.domain() == FailureDomainId("hall-b"); });
+                fleet.hosts, [](PeerHost const& host) { return host.domain() == FailureDomainId("hall-b"); });
             placing->place_generation();
-            fleet.until_all([](TalkingHost const& host) { return host.believed_generations() == 3; });
+            fleet.until_all([](PeerHost const& host) { return host.estimated_generations() == 3; });
         }
     }
 }
 
-SCENARIO("hosts of all domains count one that has joined")
+SCENARIO("hosts of all domains count a host that has joined")
 {
-    TalkingFleet fleet({ "hall-a", "hall-b" }, 3);
-    fleet.until_heard();
+    PeerFleet fleet({ "hall-a", "hall-b" }, 3);
+    fleet.until_connected();
     auto all_count = [](u32 hosts) {
-        return [hosts](TalkingHost const& host) { return host.context.reach.fleet_size(host.context.now()) == hosts; };
+        return [hosts](PeerHost const& host) { return host.context.reach.fleet_size(host.context.now()) == hosts; };
     };
     fleet.until_all(all_count(6));
-    auto& fresh = fleet.hosts.emplace_back(fleet.loop, "hall-b-new", "hall-b");
-    fresh.link.update_known_hosts(fleet.directory());
+    auto& joined = fleet.hosts.emplace_back(fleet.loop, "hall-b-new", "hall-b");
+    joined.link.update_known_hosts(fleet.directory());
     fleet.until_all(all_count(7));
 }
 
 SCENARIO("a domain that starts anew is heard by those who knew its former hosts")
 {
-    TalkingFleet fleet({ "hall-a", "hall-b" }, 2);
-    fleet.until_heard();
-    std::erase_if(fleet.hosts, [](TalkingHost const& host) { return host.domain() == FailureDomainId("hall-b"); });
-    auto& fresh = fleet.hosts.emplace_back(fleet.loop, "hall-b-new", "hall-b");
-    fresh.link.update_known_hosts(fleet.directory());
-    fleet.until_heard();
-    fresh.place_generation();
-    fleet.until_all([](TalkingHost const& host) { return host.believed_generations() == 1; });
+    PeerFleet fleet({ "hall-a", "hall-b" }, 2);
+    fleet.until_connected();
+    std::erase_if(fleet.hosts, [](PeerHost const& host) { return host.domain() == FailureDomainId("hall-b"); });
+    auto& joined = fleet.hosts.emplace_back(fleet.loop, "hall-b-new", "hall-b");
+    joined.link.update_known_hosts(fleet.directory());
+    fleet.until_connected();
+    joined.place_generation();
+    fleet.until_all([](PeerHost const& host) { return host.estimated_generations() == 1; });
     fleet.hosts.front().place_generation();
-    fleet.until_all([](TalkingHost const& host) { return host.believed_generations() == 2; });
+    fleet.until_all([](PeerHost const& host) { return host.estimated_generations() == 2; });
 }
 
-SCENARIO("a host goes while all that it has to do is due")
+SCENARIO("a host is destroyed while all of its timers are due")
 {
-    TalkingFleet fleet({ "hall-a" }, 2);
-    fleet.until_heard();
+    PeerFleet fleet({ "hall-a" }, 2);
+    fleet.until_connected();
     fleet.hosts.back().place_generation();
     Test::stall_for(1s);
-    // The loop looks first what is due and puts it into its queue, behind this.
+    // The event loop collects the due timers first, and queues their handlers behind this one.
     Http::asio::post(fleet.loop, [&] { fleet.hosts.pop_back(); });
-    auto const& left = fleet.hosts.front().context;
-    auto const later = left.now() + 1s;
-    Test::run_until(fleet.loop, [&] { return left.now() > later; });
+    auto const& remaining = fleet.hosts.front().context;
+    auto const later = remaining.now() + 1s;
+    Test::run_until(fleet.loop, [&] { return remaining.now() > later; });
     CHECK(fleet.hosts.size() == 1);
-    CHECK(left.reach.reachable_local_hosts(left.now()) == 0);
+    CHECK(remaining.reach.reachable_local_hosts(remaining.now()) == 0);
 }
--- a/Tests/LibServing/TestServiceReachability.cpp
+++ b/Tests/LibServing/TestServiceReachability.cpp
@@ -20,10 +20,10 @@
     return table.update(server, Instant { 1s });
 }
 
-SCENARIO("a domain that has no server of a service is cut off from those that have")
+SCENARIO("a domain without a server of a service is partitioned from the domains that have one")
 {
-    // Half of a domain's requests are lookups that only other domains can answer; each costs a caller the time of two
-    // connections that do not come up, for as long as the cut lasts.
+    // Half of a domain's requests are lookups that only servers of other domains can handle. During the partition each
+    // of them would cost its caller the time of two failed connection attempts.
     Configuration configuration;
     configuration.services = { { ServiceName("lookups"), 64, {} }, { ServiceName("models"), 64, {} } };
     RoutingTable const routing(configuration);
@@ -41,35 +41,35 @@
     record_failure(*second, now, true);
     CHECK(out_of_reach(now) == std::vector { ServiceName("lookups") });
 
-    WHEN("hosts of the other domains are heard")
+    WHEN("hosts of the other domains are reachable")
     {
-        THEN("it is the servers that are down, and other hosts would do no better")
+        THEN("the servers have failed, and other hosts could not reach them either")
         {
             CHECK(unreachable_services(table, routing, {}, now).empty());
             CHECK(unreachable_services(table, routing, std::span(silent).first(1), now).empty());
         }
     }
-    WHEN("a server answers again")
+    WHEN("a server responds again")
     {
         record_success(*second);
         CHECK(out_of_reach(now).empty());
     }
-    WHEN("nothing has been tried for some seconds")
+    WHEN("there was no connection attempt for some seconds")
     {
-        THEN("callers may test it again") { CHECK(out_of_reach(now + 6s).empty()); }
+        THEN("requests of callers may test the servers again") { CHECK(out_of_reach(now + 6s).empty()); }
     }
-    WHEN("a server answers with failures")
+    WHEN("a server responds with failures")
     {
         record_success(*first);
         record_failure(*first, now, false);
         CHECK(out_of_reach(now).empty());
     }
-    WHEN("a server of the host's own domain comes")
+    WHEN("a server of the host's own domain is added")
     {
         add_server(table, "lookup-3", "lookups", "hall-a");
         CHECK(out_of_reach(now).empty());
     }
-    WHEN("the service is not configured any more")
+    WHEN("the service is no longer configured")
     {
         configuration.services.erase(configuration.services.begin());
         CHECK(unreachable_services(table, RoutingTable(configuration), silent, now).empty());
--- a/Tests/LibServing/TestTableUpdateRows.cpp
+++ b/Tests/LibServing/TestTableUpdateRows.cpp
@@ -26,38 +26,38 @@
     }
 }
 
-SCENARIO("changes of a table are told to other hosts")
+SCENARIO("the rows of a table update are sent to other hosts")
 {
-    wire::PlatformNews news;
-    WHEN("its rows are small once packed")
+    wire::PlatformNews update;
+    WHEN("the compressed rows are small")
     {
-        Serving::put_rows(news, some_changes(), 1000);
-        CHECK(news.has_rows());
-        CHECK(news.ByteSizeLong() < 1000);
-        check_same(Serving::rows_of(news).value(), some_changes());
+        Serving::put_rows(update, some_changes(), 1000);
+        CHECK(update.has_rows());
+        CHECK(update.ByteSizeLong() < 1000);
+        check_same(Serving::rows_of(update).value(), some_changes());
     }
-    WHEN("its rows are too large even when packed")
+    WHEN("the compressed rows are too large")
     {
-        Serving::put_rows(news, some_changes(), 10);
-        THEN("only that there is a change is told")
+        Serving::put_rows(update, some_changes(), 10);
+        THEN("the update contains no rows")
         {
-            CHECK_FALSE(news.has_rows());
-            CHECK(Serving::rows_of(news).value().empty());
+            CHECK_FALSE(update.has_rows());
+            CHECK(Serving::rows_of(update).value().empty());
         }
     }
-    WHEN("packed rows are spoiled on their way")
+    WHEN("the compressed rows are corrupted")
     {
-        Serving::put_rows(news, some_changes(), 1000);
-        auto spoiled = news.packed_rows();
-        THEN("bytes that are none of ours are an error")
+        Serving::put_rows(update, some_changes(), 1000);
+        auto packed = update.packed_rows();
+        THEN("bytes that are not compressed data are an error")
         {
-            news.set_packed_rows("no packed rows");
-            CHECK_FALSE(Serving::rows_of(news));
+            update.set_packed_rows("no packed rows");
+            CHECK_FALSE(Serving::rows_of(update));
         }
-        THEN("bytes that are cut are an error")
+        THEN("truncated data is an error")
         {
-            news.set_packed_rows(spoiled.substr(0, spoiled.size() / 2));
-            CHECK_FALSE(Serving::rows_of(news));
+            update.set_packed_rows(packed.substr(0, packed.size() / 2));
+            CHECK_FALSE(Serving::rows_of(update));
         }
     }
 }
