--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -38,7 +38,7 @@
         return "serving";
     case Availability::Leaving:
         return "leaving";
-    case Availability::Gone:
+    case Availability::Removed:
         return "gone";
     }
     VERIFY(false);
@@ -92,7 +92,7 @@
     if (found == this->by_id.end())
         return nullptr;
     auto entry = found->second;
-    entry->availability = Availability::Gone;
+    entry->availability = Availability::Removed;
     std::erase(this->by_service[entry->server.service], entry);
     this->by_id.erase(found);
     this->keep_reported_state(*entry, now);
--- a/Tests/LibServing/TestTables.cpp
+++ b/Tests/LibServing/TestTables.cpp
@@ -75,7 +75,7 @@
     WHEN("it is removed")
     {
         table.remove(EngineId("s1"), now);
-        CHECK(backend->availability == Availability::Gone);
+        CHECK(backend->availability == Availability::Removed);
         CHECK(table.of_service(ServiceName("lanes")).empty());
     }
 }
