--- a/Libraries/LibServing/BackendTable.h
+++ b/Libraries/LibServing/BackendTable.h
@@ -26,7 +26,7 @@
     /// Accepts no new work. Running requests continue until they finish or the process terminates.
     Leaving,
     /// Removed from the platform's list.
-    Gone,
+    Removed,
 };
 
 std::string_view to_string(Availability);
