--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -112,11 +112,11 @@
 
 void BackendTable::restore_reported_state(Backend& backend) const
 {
-    auto kept = this->reported_states.find(backend.server.id);
-    if (kept == this->reported_states.end() || !backend.matches_start(kept->second.start))
+    auto saved = this->reported_states.find(backend.server.id);
+    if (saved == this->reported_states.end() || !backend.matches_start(saved->second.start))
         return;
-    backend.back_off_until = std::max(backend.back_off_until, kept->second.back_off_until);
-    if (kept->second.has_announced_leaving)
+    backend.back_off_until = std::max(backend.back_off_until, saved->second.back_off_until);
+    if (saved->second.has_announced_leaving)
         backend.record_leaving();
 }
 
@@ -214,13 +214,13 @@
 
 std::optional<Duration> min_back_off(std::span<BackendPointer const> candidates, Instant now)
 {
-    std::optional<Duration> shortest;
+    std::optional<Duration> min_left;
     for (auto const& candidate : candidates) {
         auto const left = candidate->back_off_left(now);
         if (candidate->takes_work() && left > 0s)
-            shortest = std::min(shortest.value_or(left), left);
+            min_left = std::min(min_left.value_or(left), left);
     }
-    return shortest;
+    return min_left;
 }
 
 void record_success(Backend& backend)
