--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -22,8 +22,8 @@
 /// four messages per second from each domain.
 static constexpr i64 remote_hosts_without_delay = 12;
 static constexpr Duration delta_delay_per_remote_host = 1ms;
-/// A full state message has some hundred bytes per local host. This period limits them to about 1.5 KB/s in each
-/// direction.
+/// A full state message of some hundred bytes is sent to each local host. This period limits all of them together to
+/// about 1.5 KB/s in each direction.
 static constexpr Duration period_per_peer = 60ms;
 static constexpr Duration min_period = 300ms;
 static constexpr Duration max_period = 1s;
