--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -36,7 +36,7 @@
 /// How soon a change of the configuration is in force on a host that nothing has touched.
 static constexpr Duration configuration_lateness = 6s;
 
-Caller::Caller(Http::asio::io_context& loop, Deployment& deployment, PromiseChecker& checker, HostPlace& host,
+Caller::Caller(Http::asio::io_context& loop, Deployment& deployment, PromiseChecker& checker, HostInstance& host,
     std::string name, u32 seed)
     : loop(loop)
     , deployment(deployment)
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -16,7 +16,7 @@
 /// open. It keeps that one for as long as the host lets it, also through a planned stop.
 class Caller : public std::enable_shared_from_this<Caller> {
 public:
-    Caller(Http::asio::io_context&, Deployment&, PromiseChecker&, HostPlace&, std::string name, u32 seed);
+    Caller(Http::asio::io_context&, Deployment&, PromiseChecker&, HostInstance&, std::string name, u32 seed);
 
     /// Begins with a rest; the loop goes on from there. The object must be held by a std::shared_ptr.
     void start() { this->rest(); }
@@ -54,7 +54,7 @@
     Http::asio::io_context& loop;
     Deployment& deployment;
     PromiseChecker& checker;
-    HostPlace& host;
+    HostInstance& host;
     std::string name;
     boost::random::mt19937 random;
     AK::Timer timer;
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -45,7 +45,7 @@
 
 void Deployment::make_host(std::string const& domain, u32 number)
 {
-    auto host = std::make_unique<HostPlace>();
+    auto host = std::make_unique<HostInstance>();
     host->name = "host-" + std::to_string(number);
     host->domain = domain;
     host->callers = Test::free_endpoint();
@@ -60,7 +60,7 @@
     this->hosts.push_back(std::move(host));
 }
 
-void Deployment::write_settings(HostPlace const& host, double ratio) const
+void Deployment::write_settings(HostInstance const& host, double ratio) const
 {
     std::ofstream file(host.settings_path);
     file << "host:\n  name: " << host.name << "\n  failure_domain: " << host.domain
@@ -85,7 +85,7 @@
         this->start_host(*host);
 }
 
-void Deployment::start_host(HostPlace& host)
+void Deployment::start_host(HostInstance& host)
 {
     if (host.daemon->is_running())
         return;
@@ -96,14 +96,14 @@
     host.daemon->start();
 }
 
-void Deployment::kill_host(HostPlace& host)
+void Deployment::kill_host(HostInstance& host)
 {
     host.is_end_expected = true;
     host.was_killed = true;
     host.daemon->send_signal(SIGKILL);
 }
 
-void Deployment::freeze_host(HostPlace& host, Duration duration)
+void Deployment::freeze_host(HostInstance& host, Duration duration)
 {
     host.frozen_until = std::max(host.frozen_until, now() + duration);
     this->notices.host_halted(host.name, now(), host.frozen_until);
@@ -116,14 +116,14 @@
     });
 }
 
-void Deployment::stop_host(HostPlace& host)
+void Deployment::stop_host(HostInstance& host)
 {
     host.is_end_expected = true;
     host.stopping_since = now();
     host.daemon->send_signal(SIGTERM);
 }
 
-void Deployment::harm(HostPlace& host, Duration duration)
+void Deployment::harm(HostInstance& host, Duration duration)
 {
     host.harmed_until = std::max(host.harmed_until, now() + duration);
 }
@@ -162,7 +162,7 @@
     return place;
 }
 
-HostPlace const* Deployment::find_host(std::string const& name) const
+HostInstance const* Deployment::find_host(std::string const& name) const
 {
     auto found = std::ranges::find_if(this->hosts, [&](auto const& host) { return host->name == name; });
     return found == this->hosts.end() ? nullptr : found->get();
@@ -324,7 +324,7 @@
         this->look_after(*host);
 }
 
-void Deployment::look_after(HostPlace& host)
+void Deployment::look_after(HostInstance& host)
 {
     auto status = host.daemon->take_end();
     if (!status) {
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -20,7 +20,7 @@
 namespace Soak {
 
 /// One entry host: its process, and the links to the platform and from the other hosts.
-struct HostPlace {
+struct HostInstance {
     std::string name;
     std::string domain;
     Http::tcp::endpoint callers;
@@ -85,25 +85,25 @@
     void tick();
 
     // --- hosts
-    std::vector<std::unique_ptr<HostPlace>> hosts;
+    std::vector<std::unique_ptr<HostInstance>> hosts;
     /// Does nothing while it runs. Throws std::system_error when it cannot be started.
-    void start_host(HostPlace&);
-    void kill_host(HostPlace&);
-    void stop_host(HostPlace&);
+    void start_host(HostInstance&);
+    void kill_host(HostInstance&);
+    void stop_host(HostInstance&);
     /// Halts the process for this long; counts as no harm in itself.
-    void freeze_host(HostPlace&, Duration);
+    void freeze_host(HostInstance&, Duration);
     /// Writes the settings file anew; `ratio` is a setting that can change while the process runs.
-    void write_settings(HostPlace const&, double ratio) const;
+    void write_settings(HostInstance const&, double ratio) const;
     /// Faults touch the host from now on for this long.
-    void harm(HostPlace&, Duration);
+    void harm(HostInstance&, Duration);
     void harm_all(Duration);
     /// Neither the host nor its links have been harmed since `instant`.
-    [[nodiscard]] static bool is_calm_since(HostPlace const& host, Instant instant)
+    [[nodiscard]] static bool is_calm_since(HostInstance const& host, Instant instant)
     {
         return host.harmed_until < instant;
     }
     /// The same, for what begins at `instant`, which may still feel faults of shortly before.
-    [[nodiscard]] static bool is_calm_for(HostPlace const& host, Instant instant)
+    [[nodiscard]] static bool is_calm_for(HostInstance const& host, Instant instant)
     {
         return is_calm_since(host, instant - calm_before);
     }
@@ -149,7 +149,7 @@
     /// Leaving alone cannot: streams move.
     [[nodiscard]] bool engine_may_have_cut(std::string const& attempt, Instant instant) const;
     /// Null when no host has the name.
-    [[nodiscard]] HostPlace const* find_host(std::string const& name) const;
+    [[nodiscard]] HostInstance const* find_host(std::string const& name) const;
     [[nodiscard]] static Instant now() { return AK::BootClock::now(); }
 
     // Settings of the hosts: none longer than its default, so that a run of seconds meets their ends.
@@ -165,7 +165,7 @@
     void check_leaving(RunnerPlace const&, std::string const& attempt);
     void check_limit(RunnerPlace&, std::string const& attempt);
     void check_notices(RunnerPlace const&, std::string const& attempt);
-    void look_after(HostPlace&);
+    void look_after(HostInstance&);
 
     Http::asio::io_context& loop;
     PromiseChecker& checker;
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -130,7 +130,7 @@
     return this->draw_number(2) == 0 ? FaultProxy::Direction::ToTarget : FaultProxy::Direction::FromTarget;
 }
 
-HostPlace& FaultSchedule::draw_host()
+HostInstance& FaultSchedule::draw_host()
 {
     auto& hosts = this->deployment.hosts;
     return *hosts.at(this->draw_number(static_cast<u32>(hosts.size())));
@@ -147,7 +147,7 @@
 
 // --- processes
 
-void FaultSchedule::restart_later(HostPlace& host)
+void FaultSchedule::restart_later(HostInstance& host)
 {
     auto delay = this->draw_duration(shortest_fault, longest_restart_delay);
     this->deployment.harm(host, delay + aftermath);
@@ -278,7 +278,7 @@
 // --- links
 
 template<typename Link>
-Link& FaultSchedule::harm_link(HostPlace& host, Link& link, std::string const& what)
+Link& FaultSchedule::harm_link(HostInstance& host, Link& link, std::string const& what)
 {
     auto duration = this->draw_fault_time();
     this->note(what);
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -73,12 +73,12 @@
     void begin_platform_mode(StandIn::PlatformStore::Mode, std::string const& what);
     /// Answers the link, which the caller harms; it heals by itself.
     template<typename Link>
-    Link& harm_link(HostPlace&, Link&, std::string const& what);
-    void restart_later(HostPlace&);
+    Link& harm_link(HostInstance&, Link&, std::string const& what);
+    void restart_later(HostInstance&);
     void end_leaving(RunnerPlace&, Duration time_left);
     /// Does nothing once heal() has been called.
     void after(Duration, std::function<void()>);
-    [[nodiscard]] HostPlace& draw_host();
+    [[nodiscard]] HostInstance& draw_host();
     /// Null when a service would be left with too few backend servers.
     [[nodiscard]] RunnerPlace* draw_runner();
     [[nodiscard]] u32 draw_number(u32 below);
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -135,7 +135,7 @@
         return true;
     }
 
-    void restart_if_down(HostPlace& host)
+    void restart_if_down(HostInstance& host)
     {
         // A process whose planned stop is under way ends first.
         this->wait_until([&] { return !host.stopping_since || !host.daemon->is_running(); }, stop_patience,
