--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -134,7 +134,7 @@
         this->harm(*host, duration);
 }
 
-RunnerPlace& Deployment::add_runner(std::string const& service, std::string const& domain)
+RunnerInstance& Deployment::add_runner(std::string const& service, std::string const& domain)
 {
     auto& place = this->runners.emplace_back();
     place.id = service + '-' + std::to_string(++this->runner_count);
@@ -153,7 +153,7 @@
         this->check_notices(place, received.attempt);
     };
     place.runner->on_copy = [this](std::string const& target, std::string const& handle, u64 made) {
-        return std::ranges::any_of(this->runners, [&](RunnerPlace& candidate) {
+        return std::ranges::any_of(this->runners, [&](RunnerInstance& candidate) {
             return candidate.runner->address() == target && !candidate.has_ended
                 && candidate.runner->receive_copy(handle, made);
         });
@@ -168,7 +168,7 @@
     return found == this->hosts.end() ? nullptr : found->get();
 }
 
-void Deployment::check_leaving(RunnerPlace const& place, std::string const& attempt)
+void Deployment::check_leaving(RunnerInstance const& place, std::string const& attempt)
 {
     if (!place.leaving_since || now() - *place.leaving_since < latest_new_work)
         return;
@@ -178,19 +178,19 @@
             host->name + " still sends work (" + attempt + ") to " + place.id + ", which is leaving");
 }
 
-void Deployment::name_limit(RunnerPlace& place, double per_second)
+void Deployment::name_limit(RunnerInstance& place, double per_second)
 {
     place.limit = NamedLimit { per_second, now(), {} };
     place.runner->set_limit(std::to_string(per_second));
 }
 
-void Deployment::name_no_limit(RunnerPlace& place)
+void Deployment::name_no_limit(RunnerInstance& place)
 {
     place.limit.reset();
     place.runner->set_limit({});
 }
 
-void Deployment::check_limit(RunnerPlace& place, std::string const& attempt)
+void Deployment::check_limit(RunnerInstance& place, std::string const& attempt)
 {
     if (!place.limit || now() - place.limit->since < limit_told_after)
         return;
@@ -207,7 +207,7 @@
             + " a second and got " + std::to_string(arrivals.size()) + " in 4 s");
 }
 
-void Deployment::turn_away(RunnerPlace& place, Duration back_off)
+void Deployment::turn_away(RunnerInstance& place, Duration back_off)
 {
     place.runner->turn_away(std::to_string(AK::to_seconds(back_off)));
     place.runner->on_turned_away = [this, &place, back_off](auto const& received) {
@@ -216,9 +216,9 @@
     };
 }
 
-void Deployment::take_all_again(RunnerPlace& place) { place.runner->turn_away({}); }
+void Deployment::take_all_again(RunnerInstance& place) { place.runner->turn_away({}); }
 
-void Deployment::check_notices(RunnerPlace const& place, std::string const& attempt)
+void Deployment::check_notices(RunnerInstance const& place, std::string const& attempt)
 {
     if (now() < place.harmed_until)
         return this->notices.server_harmed(place.id);
@@ -229,18 +229,18 @@
         this->notices.said_it_leaves(place.id, host, now());
 }
 
-void Deployment::put_row(RunnerPlace const& place)
+void Deployment::put_row(RunnerInstance const& place)
 {
     this->store.put(
         servers_table, place.id, place.runner->row(place.service, place.domain, place.leaving_since.has_value()));
 }
 
-void Deployment::put_entry(RunnerPlace const& place, std::string const& value)
+void Deployment::put_entry(RunnerInstance const& place, std::string const& value)
 {
     this->store.put(servers_table, place.id, value);
 }
 
-void Deployment::drain(RunnerPlace& place, Duration time_left)
+void Deployment::drain(RunnerInstance& place, Duration time_left)
 {
     place.leaving_since = now();
     place.runner->say_it_leaves(true);
@@ -248,7 +248,7 @@
     this->put_row(place);
 }
 
-void Deployment::remove_row(RunnerPlace& place)
+void Deployment::remove_row(RunnerInstance& place)
 {
     if (!place.leaving_since)
         place.leaving_since = now();
@@ -256,7 +256,7 @@
     this->store.remove(servers_table, place.id);
 }
 
-void Deployment::end_runner(RunnerPlace& place)
+void Deployment::end_runner(RunnerInstance& place)
 {
     place.has_ended = true;
     place.ended_at = now();
@@ -265,9 +265,9 @@
     this->checker.note_running(place.id, {}, false, now());
 }
 
-std::vector<RunnerPlace*> Deployment::serving(std::string const& service)
+std::vector<RunnerInstance*> Deployment::serving(std::string const& service)
 {
-    std::vector<RunnerPlace*> result;
+    std::vector<RunnerInstance*> result;
     for (auto& place : this->runners) {
         if (place.service == service && !place.leaving_since && !place.has_ended)
             result.push_back(&place);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -51,7 +51,7 @@
 };
 
 /// One backend server and the link that all hosts reach it by.
-struct RunnerPlace {
+struct RunnerInstance {
     std::string id;
     std::string service;
     std::string domain;
@@ -109,25 +109,25 @@
     }
 
     // --- backend servers
-    std::list<RunnerPlace> runners;
-    RunnerPlace& add_runner(std::string const& service, std::string const& domain);
+    std::list<RunnerInstance> runners;
+    RunnerInstance& add_runner(std::string const& service, std::string const& domain);
     /// Says that it leaves, and when it will end.
-    void drain(RunnerPlace&, Duration time_left);
+    void drain(RunnerInstance&, Duration time_left);
     /// Takes its row off the list for good; from then on it counts as leaving.
-    void remove_row(RunnerPlace&);
-    void put_row(RunnerPlace const&);
+    void remove_row(RunnerInstance&);
+    void put_row(RunnerInstance const&);
     /// Writes its entry in its place.
-    void put_entry(RunnerPlace const&, std::string const& value);
+    void put_entry(RunnerInstance const&, std::string const& value);
     /// Names a limit in its answers from now on; until heal() or its end.
-    static void name_limit(RunnerPlace&, double per_second);
-    static void name_no_limit(RunnerPlace&);
+    static void name_limit(RunnerInstance&, double per_second);
+    static void name_no_limit(RunnerInstance&);
     /// Turns every request away from now on and asks its host for so long without any.
-    void turn_away(RunnerPlace&, Duration back_off);
-    static void take_all_again(RunnerPlace&);
+    void turn_away(RunnerInstance&, Duration back_off);
+    static void take_all_again(RunnerInstance&);
     /// Breaks its connections; its row stays.
-    void end_runner(RunnerPlace&);
+    void end_runner(RunnerInstance&);
     /// Those that take work, of one service.
-    [[nodiscard]] std::vector<RunnerPlace*> serving(std::string const& service);
+    [[nodiscard]] std::vector<RunnerInstance*> serving(std::string const& service);
 
     // --- platform
     /// See UsersPlatform::backend_table in platform/UsersPlatform.h.
@@ -162,9 +162,9 @@
 private:
     void make_host(std::string const& domain, u32 number);
     [[nodiscard]] bool was_moved(std::string const& attempt) const;
-    void check_leaving(RunnerPlace const&, std::string const& attempt);
-    void check_limit(RunnerPlace&, std::string const& attempt);
-    void check_notices(RunnerPlace const&, std::string const& attempt);
+    void check_leaving(RunnerInstance const&, std::string const& attempt);
+    void check_limit(RunnerInstance&, std::string const& attempt);
+    void check_notices(RunnerInstance const&, std::string const& attempt);
     void look_after(HostInstance&);
 
     Http::asio::io_context& loop;
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -136,7 +136,7 @@
     return *hosts.at(this->draw_number(static_cast<u32>(hosts.size())));
 }
 
-RunnerPlace* FaultSchedule::draw_runner()
+RunnerInstance* FaultSchedule::draw_runner()
 {
     auto const* service = this->draw_number(draws_per_plain_server) == 0 ? plain_service : engine_service;
     auto serving = this->deployment.serving(service);
@@ -390,7 +390,7 @@
     this->after(entry_lifetime, [this, place] { this->deployment.remove_row(*place); });
 }
 
-void FaultSchedule::end_leaving(RunnerPlace& place, Duration time_left)
+void FaultSchedule::end_leaving(RunnerInstance& place, Duration time_left)
 {
     this->after(time_left + this->draw_duration(0s, longest_overtime), [this, &place] {
         this->deployment.remove_row(place);
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -75,12 +75,12 @@
     template<typename Link>
     Link& harm_link(HostInstance&, Link&, std::string const& what);
     void restart_later(HostInstance&);
-    void end_leaving(RunnerPlace&, Duration time_left);
+    void end_leaving(RunnerInstance&, Duration time_left);
     /// Does nothing once heal() has been called.
     void after(Duration, std::function<void()>);
     [[nodiscard]] HostInstance& draw_host();
     /// Null when a service would be left with too few backend servers.
-    [[nodiscard]] RunnerPlace* draw_runner();
+    [[nodiscard]] RunnerInstance* draw_runner();
     [[nodiscard]] u32 draw_number(u32 below);
     [[nodiscard]] Duration draw_duration(Duration shortest, Duration longest);
     [[nodiscard]] Duration draw_fault_time();
--- a/Tests/Soak/StandingFaults.cpp
+++ b/Tests/Soak/StandingFaults.cpp
@@ -91,7 +91,7 @@
         R"({"service":7,"addr":[],"zone":null,"slots":1e300,"state":"ready","cold_left_ms":-1,"born":1.5})",
         R"({"service":"models","addr":"nowhere","zone":"","slots":0,"state":"resting","cold_left_ms":0})", "\xff\xfe" };
     this->restore_entry();
-    std::vector<RunnerPlace*> living;
+    std::vector<RunnerInstance*> living;
     for (auto& place : this->deployment.runners) {
         if (!place.has_ended && !place.leaving_since)
             living.push_back(&place);
--- a/Tests/Soak/StandingFaults.h
+++ b/Tests/Soak/StandingFaults.h
@@ -49,9 +49,9 @@
     boost::random::mt19937 limit_random;
     boost::random::mt19937 back_off_random;
     /// Whose entry is spoilt just now.
-    RunnerPlace* spoilt { nullptr };
+    RunnerInstance* spoilt { nullptr };
     /// Who names a limit just now.
-    RunnerPlace* limited { nullptr };
+    RunnerInstance* limited { nullptr };
     bool is_over { false };
 };
 
