--- a/Tests/Soak/StandingFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <AK/Timer.h>
-#include <Tests/Soak/StandingFaults.h>
+#include <Tests/Soak/BackgroundFaults.h>
 #include <array>
 #include <boost/random/uniform_int_distribution.hpp>
 
@@ -38,7 +38,7 @@
     return std::chrono::milliseconds(milliseconds(random));
 }
 
-StandingFaults::StandingFaults(Http::asio::io_context& loop, Deployment& deployment, u32 seed)
+BackgroundFaults::BackgroundFaults(Http::asio::io_context& loop, Deployment& deployment, u32 seed)
     : loop(loop)
     , deployment(deployment)
     , stall_random(~seed)
@@ -48,7 +48,7 @@
 {
 }
 
-void StandingFaults::start()
+void BackgroundFaults::start()
 {
     this->stall_hosts();
     this->spoil_entries();
@@ -56,7 +56,7 @@
     this->ask_for_back_off();
 }
 
-void StandingFaults::end()
+void BackgroundFaults::end()
 {
     this->is_over = true;
     this->restore_entry();
@@ -66,7 +66,7 @@
         Deployment::take_all_again(place);
 }
 
-void StandingFaults::after(Duration delay, std::function<void()> action)
+void BackgroundFaults::after(Duration delay, std::function<void()> action)
 {
     auto timer = std::make_shared<AK::Timer>(this->loop, delay);
     timer->async_wait([this, timer, action = std::move(action)](boost::system::error_code error) {
@@ -75,7 +75,7 @@
     });
 }
 
-void StandingFaults::stall_hosts()
+void BackgroundFaults::stall_hosts()
 {
     auto& hosts = this->deployment.hosts;
     auto const number = draw_below(this->stall_random, static_cast<u32>(hosts.size()));
@@ -85,7 +85,7 @@
         draw_between(this->stall_random, shortest_stall_pause, longest_stall_pause), [this] { this->stall_hosts(); });
 }
 
-void StandingFaults::spoil_entries()
+void BackgroundFaults::spoil_entries()
 {
     static constexpr std::array<std::string_view, 6> values { "", "no entry", R"({"service":"models"})",
         R"({"service":7,"addr":[],"zone":null,"slots":1e300,"state":"ready","cold_left_ms":-1,"born":1.5})",
@@ -105,14 +105,14 @@
         draw_between(this->entry_random, shortest_stall_pause, longest_stall_pause), [this] { this->spoil_entries(); });
 }
 
-void StandingFaults::restore_entry()
+void BackgroundFaults::restore_entry()
 {
     auto* place = std::exchange(this->spoilt, nullptr);
     if (place && !place->has_ended && !place->leaving_since)
         this->deployment.put_row(*place);
 }
 
-void StandingFaults::name_limits()
+void BackgroundFaults::name_limits()
 {
     constexpr u32 lowest = 1;
     constexpr u32 rates = 2;
@@ -125,7 +125,7 @@
     this->after(shortest_stall_pause, [this] { this->name_limits(); });
 }
 
-void StandingFaults::ask_for_back_off()
+void BackgroundFaults::ask_for_back_off()
 {
     auto const* service = draw_below(this->back_off_random, 2) == 0 ? plain_service : engine_service;
     auto asking = this->deployment.serving(service);
--- a/Tests/Soak/StandingFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -20,9 +20,9 @@
 /// What goes on from the start of a seed's faults to their end, beside those that are drawn for times of their own.
 /// None of it excuses a host anything. Each kind draws from numbers of its own, so that a seed's other faults do not
 /// depend on it.
-class StandingFaults {
+class BackgroundFaults {
 public:
-    StandingFaults(Http::asio::io_context&, Deployment&, u32 seed);
+    BackgroundFaults(Http::asio::io_context&, Deployment&, u32 seed);
 
     void start();
     void end();
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -6,7 +6,7 @@
 
 #pragma once
 
-#include <Tests/Soak/StandingFaults.h>
+#include <Tests/Soak/BackgroundFaults.h>
 
 namespace Soak {
 
@@ -90,7 +90,7 @@
     Http::asio::io_context& loop;
     Deployment& deployment;
     boost::random::mt19937 random;
-    StandingFaults standing;
+    BackgroundFaults standing;
     std::vector<Entry> entries;
     Instant started_at {};
     bool is_over { false };
