--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -121,7 +121,7 @@
     auto self = this->shared_from_this();
     this->exchange(
         std::move(request),
-        [self, attempt, sent, leaves](SeenAnswer answer) {
+        [self, attempt, sent, leaves](ObservedResponse answer) {
             if (!leaves)
                 self->check_promptness(attempt, sent, answer);
             self->ended(attempt, sent, std::move(answer));
@@ -140,14 +140,14 @@
     auto self = this->shared_from_this();
     this->exchange(
         make_request(attempt, sent),
-        [self, attempt, sent, version](SeenAnswer const& answer) {
+        [self, attempt, sent, version](ObservedResponse const& answer) {
             self->check_probe(version, sent, answer);
             self->settle(attempt, sent, answer);
         },
         route_of(sent.kind).timeout + answer_lateness);
 }
 
-void Caller::check_probe(u64 version, SentRequest const& sent, SeenAnswer const& answer)
+void Caller::check_probe(u64 version, SentRequest const& sent, ObservedResponse const& answer)
 {
     // The process may have been replaced between the request and its answer.
     if (sent.host_life == this->host.daemon->life())
@@ -165,7 +165,7 @@
     this->connection = std::make_shared<Http::BackendConnection>(this->loop, endpoint);
 }
 
-void Caller::exchange(Http::Request request, std::function<void(SeenAnswer)> on_end, Duration patience)
+void Caller::exchange(Http::Request request, std::function<void(ObservedResponse)> on_end, Duration patience)
 {
     bool const is_new = !this->connection || !this->connection->is_reusable() || this->draw() < new_connection_share;
     if (is_new)
@@ -173,7 +173,7 @@
     if (this->is_slow)
         this->host.slow_caller_link->set_tail(request.body().size(), this->draw_rest());
     this->is_waiting = true;
-    auto answer = std::make_shared<SeenAnswer>();
+    auto answer = std::make_shared<ObservedResponse>();
     answer->is_on_kept_connection = !is_new;
     auto self = this->shared_from_this();
     auto finish = [self, answer, on_end = std::move(on_end)] {
@@ -216,7 +216,7 @@
         });
 }
 
-void Caller::ended(std::string const& attempt, SentRequest const& sent, SeenAnswer answer)
+void Caller::ended(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
 {
     if (answer.is_success() && answer.is_complete)
         ++this->served_count;
@@ -224,7 +224,7 @@
     this->settle(attempt, sent, std::move(answer));
 }
 
-void Caller::settle(std::string const& attempt, SentRequest const& sent, SeenAnswer answer)
+void Caller::settle(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
 {
     this->checker.ended(attempt, this->ending_of(attempt, sent, answer), answer);
     this->checker.answered(attempt, std::move(answer));
@@ -244,7 +244,7 @@
     return this->host.stopping_since ? Ending::RefusedHostStopping : Ending::RefusedHostUp;
 }
 
-Ending Caller::ending_of(std::string const& attempt, SentRequest const& sent, SeenAnswer const& answer) const
+Ending Caller::ending_of(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer) const
 {
     if (answer.is_complete)
         return Ending::Whole;
@@ -267,13 +267,13 @@
     return Deployment::is_calm_for(this->host, sent.sent_at) ? Ending::ClosedHostCalm : Ending::ClosedHostHarmed;
 }
 
-void Caller::check_promptness(std::string const& attempt, SentRequest const& sent, SeenAnswer const& answer)
+void Caller::check_promptness(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
 {
     if (answer.was_left && Deployment::is_calm_for(this->host, sent.sent_at))
         this->checker.violation(attempt + " got no answer in its time from " + this->host.name);
 }
 
-void Caller::check_planned_stop(std::string const& attempt, SentRequest const& sent, SeenAnswer const& answer)
+void Caller::check_planned_stop(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
 {
     auto const& stop = this->host.stopping_since;
     bool const was_cut = !answer.is_complete && !answer.was_left;
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -34,17 +34,17 @@
     void send_request(CallKind);
     void send_probe();
     /// `on_end` is called once: when the answer has ended, or the caller has left after `patience`.
-    void exchange(Http::Request, std::function<void(SeenAnswer)> on_end, Duration patience);
+    void exchange(Http::Request, std::function<void(ObservedResponse)> on_end, Duration patience);
     void leave_after(Duration patience, std::function<void()> on_left);
-    void ended(std::string const& attempt, SentRequest const&, SeenAnswer);
-    void settle(std::string const& attempt, SentRequest const&, SeenAnswer);
-    [[nodiscard]] Ending ending_of(std::string const& attempt, SentRequest const&, SeenAnswer const&) const;
+    void ended(std::string const& attempt, SentRequest const&, ObservedResponse);
+    void settle(std::string const& attempt, SentRequest const&, ObservedResponse);
+    [[nodiscard]] Ending ending_of(std::string const& attempt, SentRequest const&, ObservedResponse const&) const;
     [[nodiscard]] Ending refusal(SentRequest const&) const;
     [[nodiscard]] bool is_host_gone(SentRequest const&) const;
     void connect();
-    void check_probe(u64 version, SentRequest const&, SeenAnswer const&);
-    void check_promptness(std::string const& attempt, SentRequest const&, SeenAnswer const&);
-    void check_planned_stop(std::string const& attempt, SentRequest const&, SeenAnswer const&);
+    void check_probe(u64 version, SentRequest const&, ObservedResponse const&);
+    void check_promptness(std::string const& attempt, SentRequest const&, ObservedResponse const&);
+    void check_planned_stop(std::string const& attempt, SentRequest const&, ObservedResponse const&);
     /// Makes a request known to the checker, as it is sent next.
     [[nodiscard]] SentRequest announce(CallKind, std::string const& attempt, std::string target);
     [[nodiscard]] double draw();
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -101,7 +101,7 @@
         this->violation(runner + " was shown the key of " + received.attempt);
 }
 
-void PromiseChecker::answered(std::string const& attempt, SeenAnswer answer)
+void PromiseChecker::answered(std::string const& attempt, ObservedResponse answer)
 {
     auto known = this->requests.find(attempt);
     ++this->status_counts[answer.status];
@@ -110,7 +110,7 @@
     this->answers.emplace(attempt, std::move(answer));
 }
 
-void PromiseChecker::ended(std::string const& attempt, Ending ending, SeenAnswer const& answer)
+void PromiseChecker::ended(std::string const& attempt, Ending ending, ObservedResponse const& answer)
 {
     ++this->endings[ending];
     bool const is_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostHarmed
@@ -133,7 +133,8 @@
     }
 }
 
-void PromiseChecker::check_success(std::string const& attempt, SentRequest const& request, SeenAnswer const& answer)
+void PromiseChecker::check_success(
+    std::string const& attempt, SentRequest const& request, ObservedResponse const& answer)
 {
     if (!answer.has_stamp)
         this->violation(attempt + " got a success without a signature");
@@ -143,7 +144,7 @@
         this->violation(attempt + " got an answer that is not its own: " + answer.body);
 }
 
-void PromiseChecker::check_stream(std::string const& attempt, SeenAnswer const& answer)
+void PromiseChecker::check_stream(std::string const& attempt, ObservedResponse const& answer)
 {
     std::string whole;
     for (u64 number = 1; number <= planned_events(attempt); ++number)
@@ -177,7 +178,7 @@
     std::erase_if(this->running_since, [](auto const& entry) { return entry.second.empty(); });
 }
 
-void PromiseChecker::probed(SentRequest const& request, u64 version, SeenAnswer const& answer)
+void PromiseChecker::probed(SentRequest const& request, u64 version, ObservedResponse const& answer)
 {
     auto& served = this->served_probes[{ request.host, request.host_life }];
     if (answer.has(Http::Status::ok))
@@ -189,7 +190,7 @@
 }
 
 /// Refusals that a host may give only for a request that has not run.
-static bool says_not_run(SeenAnswer const& answer)
+static bool says_not_run(ObservedResponse const& answer)
 {
     return answer.has(Http::Status::too_many_requests) || answer.has(Http::Status::service_unavailable)
         || answer.has(Http::Status::request_timeout) || answer.has(Http::Status::misdirected_request);
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -49,7 +49,7 @@
 std::string_view to_string(Ending);
 
 /// What its caller saw of the answer.
-struct SeenAnswer {
+struct ObservedResponse {
     /// 0: no answer head came.
     unsigned status { 0 };
     std::string body;
@@ -73,16 +73,16 @@
     void sent(std::string const& attempt, SentRequest);
     /// A backend server has read a request.
     void reached(std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const&);
-    void answered(std::string const& attempt, SeenAnswer);
+    void answered(std::string const& attempt, ObservedResponse);
     /// Counts how an exchange ended. A living host answers what it passes on, whatever befell it, the platform or the
     /// backend server: a request whose connection it closed must never reach a backend server, before or after.
-    void ended(std::string const& attempt, Ending, SeenAnswer const&);
+    void ended(std::string const& attempt, Ending, ObservedResponse const&);
     /// Called all the time with the attempts that each engine works on. `is_excused` when its link is harmed, so that
     /// the end of its work may not have reached it.
     void note_running(
         std::string const& runner, std::vector<std::string> const& attempts, bool is_excused, Instant now);
     /// The answer to a request on the route that `version` added, by the same process that it was sent to.
-    void probed(SentRequest const&, u64 version, SeenAnswer const&);
+    void probed(SentRequest const&, u64 version, ObservedResponse const&);
     /// At the end, with the runs that each backend server counted.
     void finish(std::map<std::string, u32> const& runs);
 
@@ -106,12 +106,12 @@
     /// Two engines may be at work on one generation for this long, until the first one has seen its connection end.
     static constexpr Duration tolerated_overlap = 2s;
 
-    void check_success(std::string const& attempt, SentRequest const&, SeenAnswer const&);
-    void check_stream(std::string const& attempt, SeenAnswer const&);
+    void check_success(std::string const& attempt, SentRequest const&, ObservedResponse const&);
+    void check_stream(std::string const& attempt, ObservedResponse const&);
     void check_closed();
 
     std::map<std::string, SentRequest> requests;
-    std::map<std::string, SeenAnswer> answers;
+    std::map<std::string, ObservedResponse> answers;
     std::map<unsigned, u32> status_counts;
     std::map<Ending, u32> endings;
     std::map<std::string, std::set<std::string>> runners_by_attempt;
