--- a/Tests/Fleet/LossyTalk.h
+++ b/Tests/Fleet/LossyNetwork.h
@@ -15,7 +15,7 @@
 namespace Test {
 
 /// What hosts of a model tell each other in virtual time: each word comes late to every other host, or never.
-class LossyTalk {
+class LossyNetwork {
 public:
     static constexpr i64 longest_delay_milliseconds = 300;
 
@@ -35,7 +35,7 @@
         void clear() { this->words.clear(); }
 
     private:
-        friend class LossyTalk;
+        friend class LossyNetwork;
         struct Word {
             Instant comes_at;
             std::shared_ptr<wire::HostUse const> message;
@@ -43,7 +43,7 @@
         std::vector<Word> words;
     };
 
-    LossyTalk(double lost_share, u32 seed)
+    LossyNetwork(double lost_share, u32 seed)
         : is_lost(lost_share)
         , random(seed)
     {
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <LibServing/RequestTerminations.h>
-#include <Tests/Fleet/LossyTalk.h>
+#include <Tests/Fleet/LossyNetwork.h>
 #include <catch2/catch.hpp>
 #include <list>
 #include <random>
@@ -64,7 +64,7 @@
         Instant started_at {};
         Instant next_whole {};
         u64 round { 0 };
-        Test::LossyTalk::Inbox inbox;
+        Test::LossyNetwork::Inbox inbox;
     };
     struct End {
         Instant seen_at;
@@ -141,7 +141,7 @@
     Http::asio::io_context loop;
     HostSettings settings;
     Core::StructuredLog log { [](std::string_view text) { return text.size(); } };
-    Test::LossyTalk talk;
+    Test::LossyNetwork talk;
     std::mt19937 random;
     std::list<Machine> hosts;
     std::vector<End> ends;
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -6,7 +6,7 @@
 
 #include <LibServing/BackendChooser.h>
 #include <LibServing/RateLimit.h>
-#include <Tests/Fleet/LossyTalk.h>
+#include <Tests/Fleet/LossyNetwork.h>
 #include <algorithm>
 #include <list>
 #include <random>
@@ -118,7 +118,7 @@
         FailureDomainId domain;
         HostSettings settings;
         std::unique_ptr<ServingContext> context;
-        Test::LossyTalk::Inbox inbox;
+        Test::LossyNetwork::Inbox inbox;
         /// When it first passed on an answer that names what the server names now.
         std::map<EngineId, Instant> passed_on_at;
         Instant started_at {};
@@ -258,7 +258,7 @@
     Shape shape;
     Http::asio::io_context loop;
     Core::StructuredLog log { [](std::string_view text) { return text.size(); } };
-    Test::LossyTalk talk;
+    Test::LossyNetwork talk;
     std::mt19937 random;
     std::vector<Server> servers;
     std::list<Machine> hosts;
