--- a/Tests/Hosts/PressedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -11,7 +11,7 @@
 namespace Test {
 
 /// Callers that press on three hosts before a few backend servers of one service.
-class PressedServers {
+class LoadedServers {
 public:
     /// Requests of a host that reached a server.
     struct Arrival {
@@ -22,7 +22,7 @@
     };
 
     /// `path`: of the route that callers use.
-    PressedServers(int count, std::string service, std::string path)
+    LoadedServers(int count, std::string service, std::string path)
         : path(std::move(path))
     {
         for (int i = 0; i < count; ++i) {
--- a/Tests/Hosts/TestNamedLimits.cpp
+++ b/Tests/Hosts/TestNamedLimits.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <Tests/Hosts/PressedServers.h>
+#include <Tests/Hosts/LoadedServers.h>
 
 using namespace Test;
 
@@ -23,7 +23,7 @@
 // Servers of the users in need named a limit, and all hosts together sent them as much as before.
 SCENARIO("all hosts together send a server no more than the limit that it names")
 {
-    PressedServers servers(3, "lanes", "/lookup/7");
+    LoadedServers servers(3, "lanes", "/lookup/7");
     servers.press(1s);
     GIVEN("two servers of three that name a limit")
     {
--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <Tests/Hosts/PressedServers.h>
+#include <Tests/Hosts/LoadedServers.h>
 
 using namespace Test;
 
@@ -16,9 +16,9 @@
 constexpr size_t allowed_from_one_host = 2;
 
 /// Backend servers that turn requests away, and what each host sent them in the time for which it was asked not to.
-class RestingServers : public PressedServers {
+class RestingServers : public LoadedServers {
 public:
-    using PressedServers::PressedServers;
+    using LoadedServers::LoadedServers;
 
     /// From now on the server turns all away, and asks for `span` each time.
     void turn_away(size_t server, Duration span)
@@ -95,7 +95,7 @@
         auto const id = servers.runners[0]->id();
         servers.hosts.platform.store.remove("servers", id);
         servers.press(500ms);
-        servers.hosts.platform.store.put("servers", id, servers.runners[0]->row("lanes", PressedServers::domain_of(0)));
+        servers.hosts.platform.store.put("servers", id, servers.runners[0]->row("lanes", LoadedServers::domain_of(0)));
         servers.press(2s);
         THEN("it is the same server, and its word holds")
         {
--- a/Tests/Hosts/TestServersThatSayTheyLeave.cpp
+++ b/Tests/Hosts/TestServersThatSayTheyLeave.cpp
@@ -4,16 +4,16 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <Tests/Hosts/PressedServers.h>
+#include <Tests/Hosts/LoadedServers.h>
 
 using namespace Test;
 
 namespace {
 
 /// Servers of which some say in their answers that they leave, while the platform's list says nothing of it.
-class LeavingServers : public PressedServers {
+class LeavingServers : public LoadedServers {
 public:
-    using PressedServers::PressedServers;
+    using LoadedServers::LoadedServers;
 
     void say_it_leaves(size_t server)
     {
@@ -95,7 +95,7 @@
         auto const id = servers.runners[0]->id();
         servers.hosts.platform.store.remove("servers", id);
         servers.press(300ms);
-        servers.hosts.platform.store.put("servers", id, servers.runners[0]->row("lanes", PressedServers::domain_of(0)));
+        servers.hosts.platform.store.put("servers", id, servers.runners[0]->row("lanes", LoadedServers::domain_of(0)));
         servers.press(1500ms);
         THEN("it is the same process, and leaves")
         {
@@ -110,7 +110,7 @@
         servers.runners[0]->say_it_leaves(false);
         servers.runners[0]->set_start(1'790'000'500'000);
         servers.hosts.platform.store.put(
-            "servers", servers.runners[0]->id(), servers.runners[0]->row("lanes", PressedServers::domain_of(0)));
+            "servers", servers.runners[0]->id(), servers.runners[0]->row("lanes", LoadedServers::domain_of(0)));
         servers.press(300ms);
         auto const listed_at = AK::BootClock::now();
         servers.press(1s);
