--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -249,7 +249,7 @@
     if (answer.is_complete)
         return Ending::Whole;
     if (answer.was_left)
-        return Ending::CallerLeft;
+        return Ending::CallerDisconnected;
     if (answer.end == Http::ExchangeEnd::NotConnected)
         return this->refusal(sent);
     if (this->is_host_gone(sent))
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -30,7 +30,7 @@
     switch (ending) {
     case Ending::Whole:
         return "whole";
-    case Ending::CallerLeft:
+    case Ending::CallerDisconnected:
         return "caller-left";
     case Ending::RefusedHostDown:
         return "refused-down";
