--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -29,7 +29,7 @@
 /// would be refused is closed there.
 enum class Ending : u8 {
     Whole,
-    CallerLeft,
+    CallerDisconnected,
     /// The connection could not be made.
     RefusedHostDown,
     RefusedHostStopping,
