--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -253,7 +253,7 @@
     if (answer.end == Http::ExchangeEnd::NotConnected)
         return this->refusal(sent);
     if (this->is_host_gone(sent))
-        return Ending::ClosedHostGone;
+        return Ending::ClosedHostTerminated;
     auto const& stop = this->host.stopping_since;
     if (stop && Deployment::now() - *stop >= Deployment::stop_grace - last_of_grace)
         return Ending::ClosedGraceOver;
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -38,7 +38,7 @@
         return "refused-stopping";
     case Ending::RefusedHostUp:
         return "refused-up";
-    case Ending::ClosedHostGone:
+    case Ending::ClosedHostTerminated:
         return "closed-gone";
     case Ending::ClosedGraceOver:
         return "closed-grace-over";
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -35,7 +35,7 @@
     RefusedHostStopping,
     RefusedHostUp,
     /// The connection ended with no answer or a cut one: on a process that was killed or has ended by itself,
-    ClosedHostGone,
+    ClosedHostTerminated,
     /// at the end of a planned stop's grace,
     ClosedGraceOver,
     /// after what an engine did, or what was done to it, in the middle of a stream, or after the route's time,
