--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -256,7 +256,7 @@
         return Ending::ClosedHostTerminated;
     auto const& stop = this->host.stopping_since;
     if (stop && Deployment::now() - *stop >= Deployment::stop_grace - last_of_grace)
-        return Ending::ClosedGraceOver;
+        return Ending::ClosedGraceExpired;
     // A stream whose head has been passed on cannot be given another answer; every other request can.
     bool const is_stream = sent.kind == CallKind::Draft && answer.is_success();
     bool const had_time = Deployment::now() - sent.sent_at < route_of(sent.kind).timeout;
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -40,7 +40,7 @@
         return "refused-up";
     case Ending::ClosedHostTerminated:
         return "closed-gone";
-    case Ending::ClosedGraceOver:
+    case Ending::ClosedGraceExpired:
         return "closed-grace-over";
     case Ending::ClosedStreamBroken:
         return "closed-stream-broken";
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -37,7 +37,7 @@
     /// The connection ended with no answer or a cut one: on a process that was killed or has ended by itself,
     ClosedHostTerminated,
     /// at the end of a planned stop's grace,
-    ClosedGraceOver,
+    ClosedGraceExpired,
     /// after what an engine did, or what was done to it, in the middle of a stream, or after the route's time,
     ClosedStreamBroken,
     /// on a living host during a planned stop, after a fault that may be felt, and otherwise.
