--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -264,7 +264,7 @@
         return Ending::ClosedStreamBroken;
     if (stop)
         return Ending::ClosedHostStopping;
-    return Deployment::is_calm_for(this->host, sent.sent_at) ? Ending::ClosedHostCalm : Ending::ClosedHostHarmed;
+    return Deployment::is_calm_for(this->host, sent.sent_at) ? Ending::ClosedHostCalm : Ending::ClosedHostAffected;
 }
 
 void Caller::check_promptness(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -46,7 +46,7 @@
         return "closed-stream-broken";
     case Ending::ClosedHostStopping:
         return "closed-stopping";
-    case Ending::ClosedHostHarmed:
+    case Ending::ClosedHostAffected:
         return "closed-harmed";
     case Ending::ClosedHostCalm:
         return "closed-calm";
@@ -113,7 +113,7 @@
 void PromiseChecker::ended(std::string const& attempt, Ending ending, ObservedResponse const& answer)
 {
     ++this->endings[ending];
-    bool const is_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostHarmed
+    bool const is_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostAffected
         || ending == Ending::ClosedHostCalm;
     if (!is_by_host)
         return;
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -42,7 +42,7 @@
     ClosedStreamBroken,
     /// on a living host during a planned stop, after a fault that may be felt, and otherwise.
     ClosedHostStopping,
-    ClosedHostHarmed,
+    ClosedHostAffected,
     ClosedHostCalm,
 };
 
