--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -264,7 +264,8 @@
         return Ending::ClosedStreamBroken;
     if (stop)
         return Ending::ClosedHostStopping;
-    return Deployment::is_calm_for(this->host, sent.sent_at) ? Ending::ClosedHostCalm : Ending::ClosedHostAffected;
+    return Deployment::is_calm_for(this->host, sent.sent_at) ? Ending::ClosedHostUnaffected
+                                                             : Ending::ClosedHostAffected;
 }
 
 void Caller::check_promptness(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -48,7 +48,7 @@
         return "closed-stopping";
     case Ending::ClosedHostAffected:
         return "closed-harmed";
-    case Ending::ClosedHostCalm:
+    case Ending::ClosedHostUnaffected:
         return "closed-calm";
     }
     VERIFY(false);
@@ -114,7 +114,7 @@
 {
     ++this->endings[ending];
     bool const is_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostAffected
-        || ending == Ending::ClosedHostCalm;
+        || ending == Ending::ClosedHostUnaffected;
     if (!is_by_host)
         return;
     this->closed_by_host[attempt] = std::string(to_string(ending)) + ", "
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -43,7 +43,7 @@
     /// on a living host during a planned stop, after a fault that may be felt, and otherwise.
     ClosedHostStopping,
     ClosedHostAffected,
-    ClosedHostCalm,
+    ClosedHostUnaffected,
 };
 
 std::string_view to_string(Ending);
