--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -247,7 +247,7 @@
 Ending Caller::ending_of(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer) const
 {
     if (answer.is_complete)
-        return Ending::Whole;
+        return Ending::Complete;
     if (answer.was_left)
         return Ending::CallerDisconnected;
     if (answer.end == Http::ExchangeEnd::NotConnected)
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -28,7 +28,7 @@
 std::string_view to_string(Ending ending)
 {
     switch (ending) {
-    case Ending::Whole:
+    case Ending::Complete:
         return "whole";
     case Ending::CallerDisconnected:
         return "caller-left";
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -28,7 +28,7 @@
 /// How an exchange ended for its caller, and why. A slow caller's link takes connections for its host, so that what
 /// would be refused is closed there.
 enum class Ending : u8 {
-    Whole,
+    Complete,
     CallerDisconnected,
     /// The connection could not be made.
     RefusedHostDown,
