--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -62,8 +62,8 @@
     this->restore_entry();
     if (this->limited)
         Deployment::name_no_limit(*this->limited);
-    for (auto& place : this->deployment.runners)
-        Deployment::take_all_again(place);
+    for (auto& instance : this->deployment.runners)
+        Deployment::take_all_again(instance);
 }
 
 void BackgroundFaults::after(Duration delay, std::function<void()> action)
@@ -92,9 +92,9 @@
         R"({"service":"models","addr":"nowhere","zone":"","slots":0,"state":"resting","cold_left_ms":0})", "\xff\xfe" };
     this->restore_entry();
     std::vector<RunnerInstance*> living;
-    for (auto& place : this->deployment.runners) {
-        if (!place.has_ended && !place.leaving_since)
-            living.push_back(&place);
+    for (auto& instance : this->deployment.runners) {
+        if (!instance.has_ended && !instance.leaving_since)
+            living.push_back(&instance);
     }
     auto const value = values.at(draw_below(this->entry_random, values.size()));
     if (!living.empty()) {
@@ -107,9 +107,9 @@
 
 void BackgroundFaults::restore_entry()
 {
-    auto* place = std::exchange(this->spoilt, nullptr);
-    if (place && !place->has_ended && !place->leaving_since)
-        this->deployment.put_row(*place);
+    auto* instance = std::exchange(this->spoilt, nullptr);
+    if (instance && !instance->has_ended && !instance->leaving_since)
+        this->deployment.put_row(*instance);
 }
 
 void BackgroundFaults::name_limits()
@@ -132,11 +132,11 @@
     bool const all_ask = draw_below(this->back_off_random, services_that_ask_as_a_whole) == 0;
     if (!all_ask && !asking.empty())
         asking = { asking.at(draw_below(this->back_off_random, static_cast<u32>(asking.size()))) };
-    for (auto* place : asking) {
+    for (auto* instance : asking) {
         this->deployment.turn_away(
-            *place, draw_between(this->back_off_random, shortest_back_off_asked, longest_back_off_asked));
+            *instance, draw_between(this->back_off_random, shortest_back_off_asked, longest_back_off_asked));
         this->after(draw_between(this->back_off_random, shortest_turning_away, longest_turning_away),
-            [place] { Deployment::take_all_again(*place); });
+            [instance] { Deployment::take_all_again(*instance); });
     }
     this->after(draw_between(this->back_off_random, shortest_stall_pause, longest_stall_pause),
         [this] { this->ask_for_back_off(); });
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -136,30 +136,30 @@
 
 RunnerInstance& Deployment::add_runner(std::string const& service, std::string const& domain)
 {
-    auto& place = this->runners.emplace_back();
-    place.id = service + '-' + std::to_string(++this->runner_count);
-    place.service = service;
-    place.domain = domain;
+    auto& instance = this->runners.emplace_back();
+    instance.id = service + '-' + std::to_string(++this->runner_count);
+    instance.service = service;
+    instance.domain = domain;
     auto const endpoint = Test::free_endpoint();
-    place.link = std::make_unique<FaultProxy>(this->loop, Test::free_endpoint(), endpoint);
-    place.runner = std::make_unique<StandIn::PlatformRunner>(this->loop, endpoint, place.id);
-    place.runner->announce_as(Test::text_of(place.link->endpoint()));
-    place.runner->planned_events = PromiseChecker::planned_events;
-    place.runner->set_work_time(plain_work_time);
-    place.runner->on_received = [this, &place](auto const& received) {
-        this->checker.reached(place.id, place.service, received);
-        this->check_leaving(place, received.attempt);
-        this->check_limit(place, received.attempt);
-        this->check_notices(place, received.attempt);
+    instance.link = std::make_unique<FaultProxy>(this->loop, Test::free_endpoint(), endpoint);
+    instance.runner = std::make_unique<StandIn::PlatformRunner>(this->loop, endpoint, instance.id);
+    instance.runner->announce_as(Test::text_of(instance.link->endpoint()));
+    instance.runner->planned_events = PromiseChecker::planned_events;
+    instance.runner->set_work_time(plain_work_time);
+    instance.runner->on_received = [this, &instance](auto const& received) {
+        this->checker.reached(instance.id, instance.service, received);
+        this->check_leaving(instance, received.attempt);
+        this->check_limit(instance, received.attempt);
+        this->check_notices(instance, received.attempt);
     };
-    place.runner->on_copy = [this](std::string const& target, std::string const& handle, u64 made) {
+    instance.runner->on_copy = [this](std::string const& target, std::string const& handle, u64 made) {
         return std::ranges::any_of(this->runners, [&](RunnerInstance& candidate) {
             return candidate.runner->address() == target && !candidate.has_ended
                 && candidate.runner->receive_copy(handle, made);
         });
     };
-    this->put_row(place);
-    return place;
+    this->put_row(instance);
+    return instance;
 }
 
 HostInstance const* Deployment::find_host(std::string const& name) const
@@ -168,109 +168,109 @@
     return found == this->hosts.end() ? nullptr : found->get();
 }
 
-void Deployment::check_leaving(RunnerInstance const& place, std::string const& attempt)
+void Deployment::check_leaving(RunnerInstance const& instance, std::string const& attempt)
 {
-    if (!place.leaving_since || now() - *place.leaving_since < latest_new_work)
+    if (!instance.leaving_since || now() - *instance.leaving_since < latest_new_work)
         return;
     auto const* host = this->find_host(this->checker.host_of(attempt));
-    if (host && is_calm_for(*host, *place.leaving_since))
+    if (host && is_calm_for(*host, *instance.leaving_since))
         this->checker.violation(
-            host->name + " still sends work (" + attempt + ") to " + place.id + ", which is leaving");
+            host->name + " still sends work (" + attempt + ") to " + instance.id + ", which is leaving");
 }
 
-void Deployment::name_limit(RunnerInstance& place, double per_second)
+void Deployment::name_limit(RunnerInstance& instance, double per_second)
 {
-    place.limit = NamedLimit { per_second, now(), {} };
-    place.runner->set_limit(std::to_string(per_second));
+    instance.limit = NamedLimit { per_second, now(), {} };
+    instance.runner->set_limit(std::to_string(per_second));
 }
 
-void Deployment::name_no_limit(RunnerInstance& place)
+void Deployment::name_no_limit(RunnerInstance& instance)
 {
-    place.limit.reset();
-    place.runner->set_limit({});
+    instance.limit.reset();
+    instance.runner->set_limit({});
 }
 
-void Deployment::check_limit(RunnerInstance& place, std::string const& attempt)
+void Deployment::check_limit(RunnerInstance& instance, std::string const& attempt)
 {
-    if (!place.limit || now() - place.limit->since < limit_told_after)
+    if (!instance.limit || now() - instance.limit->since < limit_told_after)
         return;
     auto const* host = this->find_host(this->checker.host_of(attempt));
-    if (!host || !is_calm_for(*host, place.limit->since))
+    if (!host || !is_calm_for(*host, instance.limit->since))
         return;
-    auto& arrivals = place.limit->arrivals;
+    auto& arrivals = instance.limit->arrivals;
     arrivals.push_back(now());
     std::erase_if(arrivals, [](Instant moment) { return now() - moment >= limit_window; });
-    auto const allowed = 1.5 * place.limit->per_second * AK::to_seconds(limit_window) + 5;
-    bool const is_in_force = now() - place.limit->since >= limit_in_force_after;
+    auto const allowed = 1.5 * instance.limit->per_second * AK::to_seconds(limit_window) + 5;
+    bool const is_in_force = now() - instance.limit->since >= limit_in_force_after;
     if (is_in_force && static_cast<double>(arrivals.size()) > allowed)
-        this->checker.violation(place.id + " named a limit of " + std::to_string(place.limit->per_second)
+        this->checker.violation(instance.id + " named a limit of " + std::to_string(instance.limit->per_second)
             + " a second and got " + std::to_string(arrivals.size()) + " in 4 s");
 }
 
-void Deployment::turn_away(RunnerInstance& place, Duration back_off)
+void Deployment::turn_away(RunnerInstance& instance, Duration back_off)
 {
-    place.runner->turn_away(std::to_string(AK::to_seconds(back_off)));
-    place.runner->on_turned_away = [this, &place, back_off](auto const& received) {
-        if (now() >= place.harmed_until)
-            this->notices.turned_away(place.id, this->checker.host_of(received.attempt), back_off, now());
+    instance.runner->turn_away(std::to_string(AK::to_seconds(back_off)));
+    instance.runner->on_turned_away = [this, &instance, back_off](auto const& received) {
+        if (now() >= instance.harmed_until)
+            this->notices.turned_away(instance.id, this->checker.host_of(received.attempt), back_off, now());
     };
 }
 
-void Deployment::take_all_again(RunnerInstance& place) { place.runner->turn_away({}); }
+void Deployment::take_all_again(RunnerInstance& instance) { instance.runner->turn_away({}); }
 
-void Deployment::check_notices(RunnerInstance const& place, std::string const& attempt)
+void Deployment::check_notices(RunnerInstance const& instance, std::string const& attempt)
 {
-    if (now() < place.harmed_until)
-        return this->notices.server_harmed(place.id);
+    if (now() < instance.harmed_until)
+        return this->notices.server_harmed(instance.id);
     auto const host = this->checker.host_of(attempt);
-    if (auto const broken = this->notices.reached(place.id, host, this->checker.sent_at(attempt), now()))
+    if (auto const broken = this->notices.reached(instance.id, host, this->checker.sent_at(attempt), now()))
         this->checker.violation(*broken + " (" + attempt + ')');
-    if (place.runner->is_saying_it_leaves() && !place.spoils_answers)
-        this->notices.said_it_leaves(place.id, host, now());
+    if (instance.runner->is_saying_it_leaves() && !instance.spoils_answers)
+        this->notices.said_it_leaves(instance.id, host, now());
 }
 
-void Deployment::put_row(RunnerInstance const& place)
+void Deployment::put_row(RunnerInstance const& instance)
 {
-    this->store.put(
-        servers_table, place.id, place.runner->row(place.service, place.domain, place.leaving_since.has_value()));
+    this->store.put(servers_table, instance.id,
+        instance.runner->row(instance.service, instance.domain, instance.leaving_since.has_value()));
 }
 
-void Deployment::put_entry(RunnerInstance const& place, std::string const& value)
+void Deployment::put_entry(RunnerInstance const& instance, std::string const& value)
 {
-    this->store.put(servers_table, place.id, value);
+    this->store.put(servers_table, instance.id, value);
 }
 
-void Deployment::drain(RunnerInstance& place, Duration time_left)
+void Deployment::drain(RunnerInstance& instance, Duration time_left)
 {
-    place.leaving_since = now();
-    place.runner->say_it_leaves(true);
-    place.runner->set_leaves_in(static_cast<u64>(AK::to_milliseconds(time_left)));
-    this->put_row(place);
+    instance.leaving_since = now();
+    instance.runner->say_it_leaves(true);
+    instance.runner->set_leaves_in(static_cast<u64>(AK::to_milliseconds(time_left)));
+    this->put_row(instance);
 }
 
-void Deployment::remove_row(RunnerInstance& place)
+void Deployment::remove_row(RunnerInstance& instance)
 {
-    if (!place.leaving_since)
-        place.leaving_since = now();
-    place.runner->say_it_leaves(true);
-    this->store.remove(servers_table, place.id);
+    if (!instance.leaving_since)
+        instance.leaving_since = now();
+    instance.runner->say_it_leaves(true);
+    this->store.remove(servers_table, instance.id);
 }
 
-void Deployment::end_runner(RunnerInstance& place)
+void Deployment::end_runner(RunnerInstance& instance)
 {
-    place.has_ended = true;
-    place.ended_at = now();
-    place.runner->end();
-    place.link->reset_all();
-    this->checker.note_running(place.id, {}, false, now());
+    instance.has_ended = true;
+    instance.ended_at = now();
+    instance.runner->end();
+    instance.link->reset_all();
+    this->checker.note_running(instance.id, {}, false, now());
 }
 
 std::vector<RunnerInstance*> Deployment::serving(std::string const& service)
 {
     std::vector<RunnerInstance*> result;
-    for (auto& place : this->runners) {
-        if (place.service == service && !place.leaving_since && !place.has_ended)
-            result.push_back(&place);
+    for (auto& instance : this->runners) {
+        if (instance.service == service && !instance.leaving_since && !instance.has_ended)
+            result.push_back(&instance);
     }
     return result;
 }
@@ -284,8 +284,8 @@
 std::map<std::string, u32> Deployment::runs() const
 {
     std::map<std::string, u32> total;
-    for (auto const& place : this->runners) {
-        for (auto const& [attempt, count] : place.runner->runs())
+    for (auto const& instance : this->runners) {
+        for (auto const& [attempt, count] : instance.runner->runs())
             total[attempt] += count;
     }
     return total;
@@ -293,8 +293,8 @@
 
 bool Deployment::was_moved(std::string const& attempt) const
 {
-    return std::ranges::any_of(this->runners, [&](auto const& place) {
-        auto const& orders = place.runner->copy_orders();
+    return std::ranges::any_of(this->runners, [&](auto const& instance) {
+        auto const& orders = instance.runner->copy_orders();
         return std::ranges::find(orders, attempt) != orders.end();
     });
 }
@@ -303,22 +303,22 @@
 {
     auto const reached = this->checker.runners_of(attempt);
     bool const is_moved = this->was_moved(attempt);
-    return std::ranges::any_of(this->runners, [&](auto const& place) {
+    return std::ranges::any_of(this->runners, [&](auto const& instance) {
         // A stream that moves may end at an engine that it has not reached yet, or by a spoiled answer to its going on.
-        bool const is_concerned = reached.contains(place.id) || (is_moved && place.service == engine_service);
-        bool const has_failed = place.ended_at >= instant || place.harmed_until >= instant;
-        return is_concerned && (has_failed || (is_moved && place.spoils_answers));
+        bool const is_concerned = reached.contains(instance.id) || (is_moved && instance.service == engine_service);
+        bool const has_failed = instance.ended_at >= instant || instance.harmed_until >= instant;
+        return is_concerned && (has_failed || (is_moved && instance.spoils_answers));
     });
 }
 
 void Deployment::tick()
 {
     auto const at = now();
-    for (auto& place : this->runners) {
-        if (place.has_ended)
+    for (auto& instance : this->runners) {
+        if (instance.has_ended)
             continue;
-        place.runner->make_events();
-        this->checker.note_running(place.id, place.runner->running(), at < place.harmed_until, at);
+        instance.runner->make_events();
+        this->checker.note_running(instance.id, instance.runner->running(), at < instance.harmed_until, at);
     }
     for (auto& host : this->hosts)
         this->look_after(*host);
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -98,8 +98,8 @@
         host->peer_link->heal();
         host->daemon->send_signal(SIGCONT);
     }
-    for (auto& place : this->deployment.runners)
-        place.link->heal();
+    for (auto& instance : this->deployment.runners)
+        instance.link->heal();
 }
 
 void FaultSchedule::note(std::string const& what) const
@@ -255,15 +255,15 @@
     this->note("the platform is away, and entries lapse meanwhile");
     this->deployment.harm_all(duration + Deployment::list_recovery_time + aftermath);
     this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Silent);
-    for (auto* place : serving)
-        this->deployment.store.remove(Deployment::servers_table, place->id);
+    for (auto* instance : serving)
+        this->deployment.store.remove(Deployment::servers_table, instance->id);
     this->after(duration, [this, serving] {
         this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Serving);
-        for (auto* place : serving) {
+        for (auto* instance : serving) {
             auto delay = this->draw_duration(0s, Deployment::list_recovery_time / 2);
-            this->after(delay, [this, place] {
-                if (!place->has_ended && !place->leaving_since)
-                    this->deployment.put_row(*place);
+            this->after(delay, [this, instance] {
+                if (!instance->has_ended && !instance->leaving_since)
+                    this->deployment.put_row(*instance);
             });
         }
     });
@@ -336,104 +336,104 @@
         this->deployment.harm(*host, duration + aftermath);
         host->platform_link->hold_all();
         host->peer_link->hold_all();
-        this->after(duration, [place = host.get()] {
-            place->platform_link->heal();
-            place->peer_link->heal();
+        this->after(duration, [instance = host.get()] {
+            instance->platform_link->heal();
+            instance->peer_link->heal();
         });
     }
 }
 
 void FaultSchedule::harm_runner_link()
 {
-    auto* place = this->draw_runner();
-    if (!place)
+    auto* instance = this->draw_runner();
+    if (!instance)
         return;
     auto duration = this->draw_fault_time();
-    this->note("the link to " + place->id + " is harmed");
+    this->note("the link to " + instance->id + " is harmed");
     this->deployment.harm_all(duration + aftermath);
-    place->harmed_until = std::max(place->harmed_until, Deployment::now() + duration + aftermath);
+    instance->harmed_until = std::max(instance->harmed_until, Deployment::now() + duration + aftermath);
     switch (this->draw_number(3)) {
     case 0:
-        place->link->set_delay(this->draw_duration(shortest_link_delay, longest_runner_link_delay));
+        instance->link->set_delay(this->draw_duration(shortest_link_delay, longest_runner_link_delay));
         break;
     case 1:
-        place->link->hold(this->draw_direction());
+        instance->link->hold(this->draw_direction());
         break;
     default:
-        place->link->hold_all();
+        instance->link->hold_all();
     }
-    this->after(duration, [place] { place->link->heal(); });
+    this->after(duration, [instance] { instance->link->heal(); });
 }
 
 void FaultSchedule::reset_runner_link()
 {
-    auto* place = this->draw_runner();
-    if (!place)
+    auto* instance = this->draw_runner();
+    if (!instance)
         return;
-    this->note("connections to " + place->id + " are reset");
+    this->note("connections to " + instance->id + " are reset");
     this->deployment.harm_all(aftermath);
-    place->harmed_until = std::max(place->harmed_until, Deployment::now() + aftermath);
-    place->link->reset_all();
+    instance->harmed_until = std::max(instance->harmed_until, Deployment::now() + aftermath);
+    instance->link->reset_all();
 }
 
 // --- backend servers
 
 void FaultSchedule::crash_runner()
 {
-    auto* place = this->draw_runner();
-    if (!place)
+    auto* instance = this->draw_runner();
+    if (!instance)
         return;
-    this->note(place->id + " crashes");
+    this->note(instance->id + " crashes");
     this->deployment.harm_all(entry_lifetime + aftermath);
-    this->deployment.end_runner(*place);
-    this->deployment.add_runner(place->service, place->domain);
-    this->after(entry_lifetime, [this, place] { this->deployment.remove_row(*place); });
+    this->deployment.end_runner(*instance);
+    this->deployment.add_runner(instance->service, instance->domain);
+    this->after(entry_lifetime, [this, instance] { this->deployment.remove_row(*instance); });
 }
 
-void FaultSchedule::end_leaving(RunnerInstance& place, Duration time_left)
+void FaultSchedule::end_leaving(RunnerInstance& instance, Duration time_left)
 {
-    this->after(time_left + this->draw_duration(0s, longest_overtime), [this, &place] {
-        this->deployment.remove_row(place);
-        this->deployment.end_runner(place);
+    this->after(time_left + this->draw_duration(0s, longest_overtime), [this, &instance] {
+        this->deployment.remove_row(instance);
+        this->deployment.end_runner(instance);
     });
 }
 
 void FaultSchedule::drain_runner()
 {
-    auto* place = this->draw_runner();
-    if (!place)
+    auto* instance = this->draw_runner();
+    if (!instance)
         return;
-    this->note(place->id + " drains");
+    this->note(instance->id + " drains");
     auto time_left = Deployment::drain_time + this->draw_duration(0s, longest_extra_notice);
-    this->deployment.add_runner(place->service, place->domain);
-    this->deployment.drain(*place, time_left);
-    this->end_leaving(*place, time_left);
+    this->deployment.add_runner(instance->service, instance->domain);
+    this->deployment.drain(*instance, time_left);
+    this->end_leaving(*instance, time_left);
 }
 
 void FaultSchedule::vanish_runner()
 {
-    auto* place = this->draw_runner();
-    if (!place)
+    auto* instance = this->draw_runner();
+    if (!instance)
         return;
-    this->note(place->id + " goes off the list and serves on for a while");
-    this->deployment.add_runner(place->service, place->domain);
-    this->deployment.remove_row(*place);
-    this->end_leaving(*place, Deployment::drain_time);
+    this->note(instance->id + " goes off the list and serves on for a while");
+    this->deployment.add_runner(instance->service, instance->domain);
+    this->deployment.remove_row(*instance);
+    this->end_leaving(*instance, Deployment::drain_time);
 }
 
 void FaultSchedule::spoil_answers()
 {
     static constexpr std::array faults { Fault::NotRun, Fault::Misdirected, Fault::LoseAnswer, Fault::Fail,
         Fault::Unsigned, Fault::Hang };
-    auto* place = this->draw_runner();
-    if (!place)
+    auto* instance = this->draw_runner();
+    if (!instance)
         return;
-    this->note(place->id + " spoils answers");
+    this->note(instance->id + " spoils answers");
     this->deployment.harm_all(aftermath);
-    place->spoils_answers = true;
+    instance->spoils_answers = true;
     // The end is drawn anew each time: two to four in a row are likelier than one or six.
     for (u32 i = 0; i <= this->draw_number(most_spoiled_answers); ++i)
-        place->runner->add_fault(faults.at(this->draw_number(static_cast<u32>(faults.size()))));
+        instance->runner->add_fault(faults.at(this->draw_number(static_cast<u32>(faults.size()))));
 }
 
 }
