--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -198,7 +198,7 @@
     request.prepare_payload();
     this->connection->exchange(std::move(request), std::move(observer), patience, patience);
     this->leave_after(patience, [answer, finish] {
-        answer->was_left = true;
+        answer->caller_disconnected = true;
         finish();
     });
 }
@@ -248,7 +248,7 @@
 {
     if (answer.is_complete)
         return Ending::Complete;
-    if (answer.was_left)
+    if (answer.caller_disconnected)
         return Ending::CallerDisconnected;
     if (answer.end == Http::ExchangeEnd::NotConnected)
         return this->refusal(sent);
@@ -270,14 +270,14 @@
 
 void Caller::check_promptness(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
 {
-    if (answer.was_left && Deployment::is_calm_for(this->host, sent.sent_at))
+    if (answer.caller_disconnected && Deployment::is_calm_for(this->host, sent.sent_at))
         this->checker.violation(attempt + " got no answer in its time from " + this->host.name);
 }
 
 void Caller::check_planned_stop(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
 {
     auto const& stop = this->host.stopping_since;
-    bool const was_cut = !answer.is_complete && !answer.was_left;
+    bool const was_cut = !answer.is_complete && !answer.caller_disconnected;
     if (!stop || !was_cut || !Deployment::is_calm_for(this->host, sent.sent_at))
         return;
     // A request that crosses the close is not passed on; one that was read is answered.
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -57,7 +57,7 @@
     /// The whole answer came, as its framing says.
     bool is_complete { false };
     /// The caller closed the connection itself.
-    bool was_left { false };
+    bool caller_disconnected { false };
     Http::ExchangeEnd end { Http::ExchangeEnd::Complete };
     std::string end_reason;
     /// The connection had served an earlier request.
