--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -174,7 +174,7 @@
         this->host.slow_caller_link->set_tail(request.body().size(), this->draw_rest());
     this->is_waiting = true;
     auto answer = std::make_shared<ObservedResponse>();
-    answer->is_on_kept_connection = !is_new;
+    answer->is_on_persistent_connection = !is_new;
     auto self = this->shared_from_this();
     auto finish = [self, answer, on_end = std::move(on_end)] {
         self->is_waiting = false;
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -118,7 +118,7 @@
     if (!is_by_host)
         return;
     this->closed_by_host[attempt] = std::string(to_string(ending)) + ", "
-        + (answer.is_on_kept_connection ? "kept" : "new") + " connection, status " + std::to_string(answer.status)
+        + (answer.is_on_persistent_connection ? "kept" : "new") + " connection, status " + std::to_string(answer.status)
         + ", " + Http::describe(answer.end, answer.end_reason);
 }
 
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -61,7 +61,7 @@
     Http::ExchangeEnd end { Http::ExchangeEnd::Complete };
     std::string end_reason;
     /// The connection had served an earlier request.
-    bool is_on_kept_connection { false };
+    bool is_on_persistent_connection { false };
 
     [[nodiscard]] bool has(Http::Status wanted) const { return this->status == static_cast<unsigned>(wanted); }
     [[nodiscard]] bool is_success() const { return this->status >= 200 && this->status < 300; }
