--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -58,7 +58,7 @@
     return AK::from_seconds(this->draw() * AK::to_seconds(longest_rest));
 }
 
-void Caller::rest()
+void Caller::schedule_next_request()
 {
     if (this->is_stopping)
         return;
@@ -228,7 +228,7 @@
 {
     this->checker.ended(attempt, this->ending_of(attempt, sent, answer), answer);
     this->checker.answered(attempt, std::move(answer));
-    this->rest();
+    this->schedule_next_request();
 }
 
 bool Caller::is_host_gone(SentRequest const& sent) const
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -19,7 +19,7 @@
     Caller(Http::asio::io_context&, Deployment&, PromiseChecker&, HostInstance&, std::string name, u32 seed);
 
     /// Begins with a rest; the loop goes on from there. The object must be held by a std::shared_ptr.
-    void start() { this->rest(); }
+    void start() { this->schedule_next_request(); }
     /// Sends bodies later than heads from now on.
     void send_slowly() { this->is_slow = true; }
     /// Sends no more; what is under way goes on to its end.
@@ -29,7 +29,7 @@
     [[nodiscard]] u32 served() const { return this->served_count; }
 
 private:
-    void rest();
+    void schedule_next_request();
     void send();
     void send_request(CallKind);
     void send_probe();
