--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -51,7 +51,7 @@
 
 double Caller::draw() { return boost::random::uniform_real_distribution<double>(0, 1)(this->random); }
 
-Duration Caller::draw_rest()
+Duration Caller::draw_interval()
 {
     if (this->draw() < idle_rest_share)
         return idle_timeout + AK::from_seconds((2 * this->draw() - 1) * AK::to_seconds(idle_rest_spread));
@@ -63,7 +63,7 @@
     if (this->is_stopping)
         return;
     auto self = this->shared_from_this();
-    this->timer.expires_after(this->draw_rest());
+    this->timer.expires_after(this->draw_interval());
     this->timer.async_wait([self](boost::system::error_code error) {
         if (!error && !self->is_stopping)
             self->send();
@@ -171,7 +171,7 @@
     if (is_new)
         this->connect();
     if (this->is_slow)
-        this->host.slow_caller_link->set_tail(request.body().size(), this->draw_rest());
+        this->host.slow_caller_link->set_tail(request.body().size(), this->draw_interval());
     this->is_waiting = true;
     auto answer = std::make_shared<ObservedResponse>();
     answer->is_on_persistent_connection = !is_new;
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -49,7 +49,7 @@
     [[nodiscard]] SentRequest announce(CallKind, std::string const& attempt, std::string target);
     [[nodiscard]] double draw();
     /// Mostly short; the others end about when the host's patience with an idle connection does.
-    [[nodiscard]] Duration draw_rest();
+    [[nodiscard]] Duration draw_interval();
 
     Http::asio::io_context& loop;
     Deployment& deployment;
