--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -197,13 +197,13 @@
     };
     request.prepare_payload();
     this->connection->exchange(std::move(request), std::move(observer), patience, patience);
-    this->leave_after(patience, [answer, finish] {
+    this->cancel_after(patience, [answer, finish] {
         answer->caller_disconnected = true;
         finish();
     });
 }
 
-void Caller::leave_after(Duration patience, std::function<void()> on_left)
+void Caller::cancel_after(Duration patience, std::function<void()> on_left)
 {
     auto self = this->shared_from_this();
     this->patience_timer.expires_after(patience);
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -35,7 +35,7 @@
     void send_probe();
     /// `on_end` is called once: when the answer has ended, or the caller has left after `patience`.
     void exchange(Http::Request, std::function<void(ObservedResponse)> on_end, Duration patience);
-    void leave_after(Duration patience, std::function<void()> on_left);
+    void cancel_after(Duration patience, std::function<void()> on_left);
     void ended(std::string const& attempt, SentRequest const&, ObservedResponse);
     void settle(std::string const& attempt, SentRequest const&, ObservedResponse);
     [[nodiscard]] Ending ending_of(std::string const& attempt, SentRequest const&, ObservedResponse const&) const;
