--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -45,7 +45,7 @@
     , name(std::move(name))
     , random(seed)
     , timer(loop)
-    , patience_timer(loop)
+    , response_timer(loop)
 {
 }
 
@@ -178,7 +178,7 @@
     auto self = this->shared_from_this();
     auto finish = [self, answer, on_end = std::move(on_end)] {
         self->is_waiting = false;
-        self->patience_timer.cancel();
+        self->response_timer.cancel();
         on_end(std::move(*answer));
     };
     Http::ExchangeObserver observer {
@@ -206,8 +206,8 @@
 void Caller::cancel_after(Duration patience, std::function<void()> on_left)
 {
     auto self = this->shared_from_this();
-    this->patience_timer.expires_after(patience);
-    this->patience_timer.async_wait(
+    this->response_timer.expires_after(patience);
+    this->response_timer.async_wait(
         [self, used = this->connection, on_left = std::move(on_left)](boost::system::error_code error) {
             if (error || !self->is_waiting || self->connection != used)
                 return;
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -58,7 +58,7 @@
     std::string name;
     boost::random::mt19937 random;
     AK::Timer timer;
-    AK::Timer patience_timer;
+    AK::Timer response_timer;
     std::shared_ptr<Http::BackendConnection> connection;
     u64 sent_count { 0 };
     u32 served_count { 0 };
