--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -231,7 +231,7 @@
     this->schedule_next_request();
 }
 
-bool Caller::is_host_gone(SentRequest const& sent) const
+bool Caller::is_host_terminated(SentRequest const& sent) const
 {
     bool const has_ended_by_itself = !this->host.daemon->is_running() && !this->host.stopping_since;
     return this->host.was_killed || has_ended_by_itself || sent.host_life != this->host.daemon->life();
@@ -239,7 +239,7 @@
 
 Ending Caller::refusal(SentRequest const& sent) const
 {
-    if (this->is_host_gone(sent) || !this->host.daemon->is_running())
+    if (this->is_host_terminated(sent) || !this->host.daemon->is_running())
         return Ending::RefusedHostDown;
     return this->host.stopping_since ? Ending::RefusedHostStopping : Ending::RefusedHostUp;
 }
@@ -252,7 +252,7 @@
         return Ending::CallerDisconnected;
     if (answer.end == Http::ExchangeEnd::NotConnected)
         return this->refusal(sent);
-    if (this->is_host_gone(sent))
+    if (this->is_host_terminated(sent))
         return Ending::ClosedHostTerminated;
     auto const& stop = this->host.stopping_since;
     if (stop && Deployment::now() - *stop >= Deployment::stop_grace - last_of_grace)
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -40,7 +40,7 @@
     void settle(std::string const& attempt, SentRequest const&, ObservedResponse);
     [[nodiscard]] Ending ending_of(std::string const& attempt, SentRequest const&, ObservedResponse const&) const;
     [[nodiscard]] Ending refusal(SentRequest const&) const;
-    [[nodiscard]] bool is_host_gone(SentRequest const&) const;
+    [[nodiscard]] bool is_host_terminated(SentRequest const&) const;
     void connect();
     void check_probe(u64 version, SentRequest const&, ObservedResponse const&);
     void check_promptness(std::string const& attempt, SentRequest const&, ObservedResponse const&);
