--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -82,7 +82,7 @@
     this->send_request(kind);
 }
 
-SentRequest Caller::announce(CallKind kind, std::string const& attempt, std::string target)
+SentRequest Caller::register_request(CallKind kind, std::string const& attempt, std::string target)
 {
     bool const has_body = kind != CallKind::Tariff || this->draw() >= bodiless_share;
     SentRequest sent { kind, this->host.name, this->host.daemon->life(), std::move(target),
@@ -107,7 +107,7 @@
 {
     auto const& route = route_of(kind);
     auto attempt = this->name + '-' + std::to_string(++this->sent_count);
-    auto const sent = this->announce(kind, attempt, route.prefix + attempt);
+    auto const sent = this->register_request(kind, attempt, route.prefix + attempt);
     auto request = make_request(attempt, sent);
     if (kind == CallKind::Draft) {
         // Figures as in Tests/Platform/HostFixture.h; all are alike, so that prompts are shared.
@@ -136,7 +136,7 @@
         ? newest
         : std::min(1 + static_cast<u64>(this->draw() * static_cast<double>(newest)), newest);
     auto attempt = this->name + "-probe-" + std::to_string(++this->sent_count);
-    auto const sent = this->announce(CallKind::Tariff, attempt, Configuration::probe_path(version) + attempt);
+    auto const sent = this->register_request(CallKind::Tariff, attempt, Configuration::probe_path(version) + attempt);
     auto self = this->shared_from_this();
     this->exchange(
         make_request(attempt, sent),
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -46,7 +46,7 @@
     void check_promptness(std::string const& attempt, SentRequest const&, ObservedResponse const&);
     void check_planned_stop(std::string const& attempt, SentRequest const&, ObservedResponse const&);
     /// Makes a request known to the checker, as it is sent next.
-    [[nodiscard]] SentRequest announce(CallKind, std::string const& attempt, std::string target);
+    [[nodiscard]] SentRequest register_request(CallKind, std::string const& attempt, std::string target);
     [[nodiscard]] double draw();
     /// Mostly short; the others end about when the host's patience with an idle connection does.
     [[nodiscard]] Duration draw_interval();
