--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -142,7 +142,7 @@
         make_request(attempt, sent),
         [self, attempt, sent, version](ObservedResponse const& answer) {
             self->check_probe(version, sent, answer);
-            self->settle(attempt, sent, answer);
+            self->record_result(attempt, sent, answer);
         },
         route_of(sent.kind).timeout + answer_lateness);
 }
@@ -221,10 +221,10 @@
     if (answer.is_success() && answer.is_complete)
         ++this->served_count;
     this->check_planned_stop(attempt, sent, answer);
-    this->settle(attempt, sent, std::move(answer));
+    this->record_result(attempt, sent, std::move(answer));
 }
 
-void Caller::settle(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
+void Caller::record_result(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
 {
     this->checker.ended(attempt, this->ending_of(attempt, sent, answer), answer);
     this->checker.answered(attempt, std::move(answer));
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -37,7 +37,7 @@
     void exchange(Http::Request, std::function<void(ObservedResponse)> on_end, Duration patience);
     void cancel_after(Duration patience, std::function<void()> on_left);
     void ended(std::string const& attempt, SentRequest const&, ObservedResponse);
-    void settle(std::string const& attempt, SentRequest const&, ObservedResponse);
+    void record_result(std::string const& attempt, SentRequest const&, ObservedResponse);
     [[nodiscard]] Ending ending_of(std::string const& attempt, SentRequest const&, ObservedResponse const&) const;
     [[nodiscard]] Ending refusal(SentRequest const&) const;
     [[nodiscard]] bool is_host_terminated(SentRequest const&) const;
