--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -124,7 +124,7 @@
         [self, attempt, sent, leaves](ObservedResponse answer) {
             if (!leaves)
                 self->check_promptness(attempt, sent, answer);
-            self->ended(attempt, sent, std::move(answer));
+            self->on_exchange_end(attempt, sent, std::move(answer));
         },
         patience);
 }
@@ -216,7 +216,7 @@
         });
 }
 
-void Caller::ended(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
+void Caller::on_exchange_end(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
 {
     if (answer.is_success() && answer.is_complete)
         ++this->served_count;
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -36,7 +36,7 @@
     /// `on_end` is called once: when the answer has ended, or the caller has left after `patience`.
     void exchange(Http::Request, std::function<void(ObservedResponse)> on_end, Duration patience);
     void cancel_after(Duration patience, std::function<void()> on_left);
-    void ended(std::string const& attempt, SentRequest const&, ObservedResponse);
+    void on_exchange_end(std::string const& attempt, SentRequest const&, ObservedResponse);
     void record_result(std::string const& attempt, SentRequest const&, ObservedResponse);
     [[nodiscard]] Ending ending_of(std::string const& attempt, SentRequest const&, ObservedResponse const&) const;
     [[nodiscard]] Ending refusal(SentRequest const&) const;
