--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -110,7 +110,7 @@
     this->answers.emplace(attempt, std::move(answer));
 }
 
-void PromiseChecker::ended(std::string const& attempt, Ending ending, ObservedResponse const& answer)
+void PromiseChecker::record_ending(std::string const& attempt, Ending ending, ObservedResponse const& answer)
 {
     ++this->endings[ending];
     bool const is_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostAffected
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -76,7 +76,7 @@
     void answered(std::string const& attempt, ObservedResponse);
     /// Counts how an exchange ended. A living host answers what it passes on, whatever befell it, the platform or the
     /// backend server: a request whose connection it closed must never reach a backend server, before or after.
-    void ended(std::string const& attempt, Ending, ObservedResponse const&);
+    void record_ending(std::string const& attempt, Ending, ObservedResponse const&);
     /// Called all the time with the attempts that each engine works on. `is_excused` when its link is harmed, so that
     /// the end of its work may not have reached it.
     void note_running(
