--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -87,7 +87,7 @@
     bool const has_body = kind != CallKind::Tariff || this->draw() >= bodiless_share;
     SentRequest sent { kind, this->host.name, this->host.daemon->life(), std::move(target),
         has_body ? "question of " + attempt : "", Deployment::now() };
-    this->checker.sent(attempt, sent);
+    this->checker.record_sent(attempt, sent);
     return sent;
 }
 
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -74,7 +74,7 @@
     return known == this->runners_by_attempt.end() ? std::set<std::string>() : known->second;
 }
 
-void PromiseChecker::sent(std::string const& attempt, SentRequest request)
+void PromiseChecker::record_sent(std::string const& attempt, SentRequest request)
 {
     this->requests.emplace(attempt, std::move(request));
 }
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -70,7 +70,7 @@
 /// Checks what must always hold, from what callers and backend servers see.
 class PromiseChecker {
 public:
-    void sent(std::string const& attempt, SentRequest);
+    void record_sent(std::string const& attempt, SentRequest);
     /// A backend server has read a request.
     void reached(std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const&);
     void answered(std::string const& attempt, ObservedResponse);
