--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -227,7 +227,7 @@
 void Caller::record_result(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
 {
     this->checker.record_ending(attempt, this->ending_of(attempt, sent, answer), answer);
-    this->checker.answered(attempt, std::move(answer));
+    this->checker.check_response(attempt, std::move(answer));
     this->schedule_next_request();
 }
 
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -101,7 +101,7 @@
         this->violation(runner + " was shown the key of " + received.attempt);
 }
 
-void PromiseChecker::answered(std::string const& attempt, ObservedResponse answer)
+void PromiseChecker::check_response(std::string const& attempt, ObservedResponse answer)
 {
     auto known = this->requests.find(attempt);
     ++this->status_counts[answer.status];
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -73,7 +73,7 @@
     void record_sent(std::string const& attempt, SentRequest);
     /// A backend server has read a request.
     void reached(std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const&);
-    void answered(std::string const& attempt, ObservedResponse);
+    void check_response(std::string const& attempt, ObservedResponse);
     /// Counts how an exchange ended. A living host answers what it passes on, whatever befell it, the platform or the
     /// backend server: a request whose connection it closed must never reach a backend server, before or after.
     void record_ending(std::string const& attempt, Ending, ObservedResponse const&);
