--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -147,7 +147,7 @@
     instance.runner->planned_events = PromiseChecker::planned_events;
     instance.runner->set_work_time(plain_work_time);
     instance.runner->on_received = [this, &instance](auto const& received) {
-        this->checker.reached(instance.id, instance.service, received);
+        this->checker.check_arrival(instance.id, instance.service, received);
         this->check_leaving(instance, received.attempt);
         this->check_limit(instance, received.attempt);
         this->check_notices(instance, received.attempt);
@@ -223,7 +223,7 @@
     if (now() < instance.harmed_until)
         return this->notices.server_harmed(instance.id);
     auto const host = this->checker.host_of(attempt);
-    if (auto const broken = this->notices.reached(instance.id, host, this->checker.sent_at(attempt), now()))
+    if (auto const broken = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
         this->checker.violation(*broken + " (" + attempt + ')');
     if (instance.runner->is_saying_it_leaves() && !instance.spoils_answers)
         this->notices.said_it_leaves(instance.id, host, now());
--- a/Tests/Soak/NoticeChecker.cpp
+++ b/Tests/Soak/NoticeChecker.cpp
@@ -31,7 +31,7 @@
         this->leavings.push_back({ server, host, now });
 }
 
-std::optional<std::string> NoticeChecker::reached(
+std::optional<std::string> NoticeChecker::check_arrival(
     std::string const& server, std::string const& host, Instant sent_at, Instant now)
 {
     for (auto& asked : this->back_offs) {
--- a/Tests/Soak/NoticeChecker.h
+++ b/Tests/Soak/NoticeChecker.h
@@ -29,7 +29,7 @@
     /// `server` answers `host`, and says that it leaves.
     void said_it_leaves(std::string const& server, std::string const& host, Instant now);
     /// A request of `host`, which its caller sent at `sent_at`, has reached `server`. Answers what is wrong with that.
-    [[nodiscard]] std::optional<std::string> reached(
+    [[nodiscard]] std::optional<std::string> check_arrival(
         std::string const& server, std::string const& host, Instant sent_at, Instant now);
 
     void host_started(std::string const& host);
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -79,7 +79,7 @@
     this->requests.emplace(attempt, std::move(request));
 }
 
-void PromiseChecker::reached(
+void PromiseChecker::check_arrival(
     std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const& received)
 {
     auto known = this->requests.find(received.attempt);
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -72,7 +72,7 @@
 public:
     void record_sent(std::string const& attempt, SentRequest);
     /// A backend server has read a request.
-    void reached(std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const&);
+    void check_arrival(std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const&);
     void check_response(std::string const& attempt, ObservedResponse);
     /// Counts how an exchange ended. A living host answers what it passes on, whatever befell it, the platform or the
     /// backend server: a request whose connection it closed must never reach a backend server, before or after.
