--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -151,7 +151,7 @@
 {
     // The process may have been replaced between the request and its answer.
     if (sent.host_life == this->host.daemon->life())
-        this->checker.probed(sent, version, answer);
+        this->checker.check_probe_response(sent, version, answer);
     auto const taken_at = this->deployment.version_times.at(version);
     bool const is_overdue
         = sent.sent_at - taken_at > configuration_lateness && Deployment::is_calm_for(this->host, taken_at);
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -178,7 +178,7 @@
     std::erase_if(this->running_since, [](auto const& entry) { return entry.second.empty(); });
 }
 
-void PromiseChecker::probed(SentRequest const& request, u64 version, ObservedResponse const& answer)
+void PromiseChecker::check_probe_response(SentRequest const& request, u64 version, ObservedResponse const& answer)
 {
     auto& served = this->served_probes[{ request.host, request.host_life }];
     if (answer.has(Http::Status::ok))
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -82,7 +82,7 @@
     void note_running(
         std::string const& runner, std::vector<std::string> const& attempts, bool is_excused, Instant now);
     /// The answer to a request on the route that `version` added, by the same process that it was sent to.
-    void probed(SentRequest const&, u64 version, ObservedResponse const&);
+    void check_probe_response(SentRequest const&, u64 version, ObservedResponse const&);
     /// At the end, with the runs that each backend server counted.
     void finish(std::map<std::string, u32> const& runs);
 
