--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -262,7 +262,7 @@
     instance.ended_at = now();
     instance.runner->end();
     instance.link->reset_all();
-    this->checker.note_running(instance.id, {}, false, now());
+    this->checker.record_running(instance.id, {}, false, now());
 }
 
 std::vector<RunnerInstance*> Deployment::serving(std::string const& service)
@@ -318,7 +318,7 @@
         if (instance.has_ended)
             continue;
         instance.runner->make_events();
-        this->checker.note_running(instance.id, instance.runner->running(), at < instance.harmed_until, at);
+        this->checker.record_running(instance.id, instance.runner->running(), at < instance.harmed_until, at);
     }
     for (auto& host : this->hosts)
         this->look_after(*host);
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -155,7 +155,7 @@
         this->violation(attempt + " ended as complete before its last event");
 }
 
-void PromiseChecker::note_running(
+void PromiseChecker::record_running(
     std::string const& runner, std::vector<std::string> const& attempts, bool is_excused, Instant now)
 {
     std::set<std::string> const present(attempts.begin(), attempts.end());
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -79,7 +79,7 @@
     void record_ending(std::string const& attempt, Ending, ObservedResponse const&);
     /// Called all the time with the attempts that each engine works on. `is_excused` when its link is harmed, so that
     /// the end of its work may not have reached it.
-    void note_running(
+    void record_running(
         std::string const& runner, std::vector<std::string> const& attempts, bool is_excused, Instant now);
     /// The answer to a request on the route that `version` added, by the same process that it was sent to.
     void check_probe_response(SentRequest const&, u64 version, ObservedResponse const&);
