--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -212,7 +212,7 @@
     instance.runner->turn_away(std::to_string(AK::to_seconds(back_off)));
     instance.runner->on_turned_away = [this, &instance, back_off](auto const& received) {
         if (now() >= instance.harmed_until)
-            this->notices.turned_away(instance.id, this->checker.host_of(received.attempt), back_off, now());
+            this->notices.record_back_off(instance.id, this->checker.host_of(received.attempt), back_off, now());
     };
 }
 
--- a/Tests/Soak/NoticeChecker.cpp
+++ b/Tests/Soak/NoticeChecker.cpp
@@ -16,7 +16,7 @@
 /// An answer passes the links and a busy machine in less.
 static constexpr Duration longest_answer_time = 1s;
 
-void NoticeChecker::turned_away(std::string const& server, std::string const& host, Duration back_off, Instant now)
+void NoticeChecker::record_back_off(std::string const& server, std::string const& host, Duration back_off, Instant now)
 {
     std::erase_if(this->back_offs, [now](auto const& asked) { return asked.until <= now; });
     if (!this->is_halted(host, now))
