--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -226,7 +226,7 @@
     if (auto const broken = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
         this->checker.violation(*broken + " (" + attempt + ')');
     if (instance.runner->is_saying_it_leaves() && !instance.spoils_answers)
-        this->notices.said_it_leaves(instance.id, host, now());
+        this->notices.record_leaving(instance.id, host, now());
 }
 
 void Deployment::put_row(RunnerInstance const& instance)
--- a/Tests/Soak/NoticeChecker.cpp
+++ b/Tests/Soak/NoticeChecker.cpp
@@ -23,7 +23,7 @@
         this->back_offs.push_back({ server, host, now, now + back_off });
 }
 
-void NoticeChecker::said_it_leaves(std::string const& server, std::string const& host, Instant now)
+void NoticeChecker::record_leaving(std::string const& server, std::string const& host, Instant now)
 {
     bool const is_known = std::ranges::any_of(
         this->leavings, [&](auto const& said) { return said.server == server && said.host == host; });
--- a/Tests/Soak/NoticeChecker.h
+++ b/Tests/Soak/NoticeChecker.h
@@ -27,7 +27,7 @@
     /// `server` has turned a request of `host` away and asked for back-off.
     void record_back_off(std::string const& server, std::string const& host, Duration back_off, Instant now);
     /// `server` answers `host`, and says that it leaves.
-    void said_it_leaves(std::string const& server, std::string const& host, Instant now);
+    void record_leaving(std::string const& server, std::string const& host, Instant now);
     /// A request of `host`, which its caller sent at `sent_at`, has reached `server`. Answers what is wrong with that.
     [[nodiscard]] std::optional<std::string> check_arrival(
         std::string const& server, std::string const& host, Instant sent_at, Instant now);
