--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -221,7 +221,7 @@
 void Deployment::check_notices(RunnerInstance const& instance, std::string const& attempt)
 {
     if (now() < instance.harmed_until)
-        return this->notices.server_harmed(instance.id);
+        return this->notices.server_affected(instance.id);
     auto const host = this->checker.host_of(attempt);
     if (auto const broken = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
         this->checker.violation(*broken + " (" + attempt + ')');
--- a/Tests/Soak/NoticeChecker.cpp
+++ b/Tests/Soak/NoticeChecker.cpp
@@ -66,7 +66,7 @@
         this->leavings, [&](auto const& said) { return said.host == host && now < said.at + longest_answer_time; });
 }
 
-void NoticeChecker::server_harmed(std::string const& server)
+void NoticeChecker::server_affected(std::string const& server)
 {
     std::erase_if(this->back_offs, [&](auto const& asked) { return asked.server == server; });
     std::erase_if(this->leavings, [&](auto const& said) { return said.server == server; });
--- a/Tests/Soak/NoticeChecker.h
+++ b/Tests/Soak/NoticeChecker.h
@@ -35,7 +35,7 @@
     void host_started(std::string const& host);
     void host_halted(std::string const& host, Instant now, Instant until);
     /// Answers of the server may be lost or late.
-    void server_harmed(std::string const& server);
+    void server_affected(std::string const& server);
 
 private:
     struct BackOff {
