--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -125,7 +125,7 @@
 
 void Deployment::harm(HostInstance& host, Duration duration)
 {
-    host.harmed_until = std::max(host.harmed_until, now() + duration);
+    host.affected_until = std::max(host.affected_until, now() + duration);
 }
 
 void Deployment::harm_all(Duration duration)
@@ -211,7 +211,7 @@
 {
     instance.runner->turn_away(std::to_string(AK::to_seconds(back_off)));
     instance.runner->on_turned_away = [this, &instance, back_off](auto const& received) {
-        if (now() >= instance.harmed_until)
+        if (now() >= instance.affected_until)
             this->notices.record_back_off(instance.id, this->checker.host_of(received.attempt), back_off, now());
     };
 }
@@ -220,7 +220,7 @@
 
 void Deployment::check_notices(RunnerInstance const& instance, std::string const& attempt)
 {
-    if (now() < instance.harmed_until)
+    if (now() < instance.affected_until)
         return this->notices.server_affected(instance.id);
     auto const host = this->checker.host_of(attempt);
     if (auto const broken = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
@@ -306,7 +306,7 @@
     return std::ranges::any_of(this->runners, [&](auto const& instance) {
         // A stream that moves may end at an engine that it has not reached yet, or by a spoiled answer to its going on.
         bool const is_concerned = reached.contains(instance.id) || (is_moved && instance.service == engine_service);
-        bool const has_failed = instance.ended_at >= instant || instance.harmed_until >= instant;
+        bool const has_failed = instance.ended_at >= instant || instance.affected_until >= instant;
         return is_concerned && (has_failed || (is_moved && instance.spoils_answers));
     });
 }
@@ -318,7 +318,7 @@
         if (instance.has_ended)
             continue;
         instance.runner->make_events();
-        this->checker.record_running(instance.id, instance.runner->running(), at < instance.harmed_until, at);
+        this->checker.record_running(instance.id, instance.runner->running(), at < instance.affected_until, at);
     }
     for (auto& host : this->hosts)
         this->look_after(*host);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -39,7 +39,7 @@
     bool was_killed { false };
     Instant frozen_until {};
     /// Faults that touch this host last until.
-    Instant harmed_until {};
+    Instant affected_until {};
 };
 
 /// A limit that a backend server names, and what has reached it since every host can have heard of that.
@@ -63,7 +63,7 @@
     Instant ended_at {};
     /// Was told to, some time; the next requests that reach it get what it was told.
     bool spoils_answers { false };
-    Instant harmed_until {};
+    Instant affected_until {};
     std::optional<NamedLimit> limit;
 };
 
@@ -100,7 +100,7 @@
     /// Neither the host nor its links have been harmed since `instant`.
     [[nodiscard]] static bool is_calm_since(HostInstance const& host, Instant instant)
     {
-        return host.harmed_until < instant;
+        return host.affected_until < instant;
     }
     /// The same, for what begins at `instant`, which may still feel faults of shortly before.
     [[nodiscard]] static bool is_calm_for(HostInstance const& host, Instant instant)
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -351,7 +351,7 @@
     auto duration = this->draw_fault_time();
     this->note("the link to " + instance->id + " is harmed");
     this->deployment.harm_all(duration + aftermath);
-    instance->harmed_until = std::max(instance->harmed_until, Deployment::now() + duration + aftermath);
+    instance->affected_until = std::max(instance->affected_until, Deployment::now() + duration + aftermath);
     switch (this->draw_number(3)) {
     case 0:
         instance->link->set_delay(this->draw_duration(shortest_link_delay, longest_runner_link_delay));
@@ -372,7 +372,7 @@
         return;
     this->note("connections to " + instance->id + " are reset");
     this->deployment.harm_all(aftermath);
-    instance->harmed_until = std::max(instance->harmed_until, Deployment::now() + aftermath);
+    instance->affected_until = std::max(instance->affected_until, Deployment::now() + aftermath);
     instance->link->reset_all();
 }
 
