--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -123,7 +123,7 @@
     host.daemon->send_signal(SIGTERM);
 }
 
-void Deployment::harm(HostInstance& host, Duration duration)
+void Deployment::mark_affected(HostInstance& host, Duration duration)
 {
     host.affected_until = std::max(host.affected_until, now() + duration);
 }
@@ -131,7 +131,7 @@
 void Deployment::harm_all(Duration duration)
 {
     for (auto& host : this->hosts)
-        this->harm(*host, duration);
+        this->mark_affected(*host, duration);
 }
 
 RunnerInstance& Deployment::add_runner(std::string const& service, std::string const& domain)
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -95,7 +95,7 @@
     /// Writes the settings file anew; `ratio` is a setting that can change while the process runs.
     void write_settings(HostInstance const&, double ratio) const;
     /// Faults touch the host from now on for this long.
-    void harm(HostInstance&, Duration);
+    void mark_affected(HostInstance&, Duration);
     void harm_all(Duration);
     /// Neither the host nor its links have been harmed since `instant`.
     [[nodiscard]] static bool is_calm_since(HostInstance const& host, Instant instant)
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -150,7 +150,7 @@
 void FaultSchedule::restart_later(HostInstance& host)
 {
     auto delay = this->draw_duration(shortest_fault, longest_restart_delay);
-    this->deployment.harm(host, delay + aftermath);
+    this->deployment.mark_affected(host, delay + aftermath);
     this->after(delay, [this, &host] { this->deployment.start_host(host); });
 }
 
@@ -195,7 +195,7 @@
     auto& host = this->draw_host();
     auto duration = this->draw_fault_time();
     this->note("freeze " + host.name);
-    this->deployment.harm(host, duration + aftermath);
+    this->deployment.mark_affected(host, duration + aftermath);
     this->deployment.freeze_host(host, duration);
 }
 
@@ -282,7 +282,7 @@
 {
     auto duration = this->draw_fault_time();
     this->note(what);
-    this->deployment.harm(host, duration + aftermath);
+    this->deployment.mark_affected(host, duration + aftermath);
     this->after(duration, [&link] { link.heal(); });
     return link;
 }
@@ -305,7 +305,7 @@
 {
     auto& host = this->draw_host();
     this->note("connections of " + host.name + " to the platform are reset");
-    this->deployment.harm(host, aftermath);
+    this->deployment.mark_affected(host, aftermath);
     host.platform_link->reset_all();
 }
 
@@ -333,7 +333,7 @@
     for (auto& host : this->deployment.hosts) {
         if (host->domain != domain)
             continue;
-        this->deployment.harm(*host, duration + aftermath);
+        this->deployment.mark_affected(*host, duration + aftermath);
         host->platform_link->hold_all();
         host->peer_link->hold_all();
         this->after(duration, [instance = host.get()] {
