--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -128,7 +128,7 @@
     host.affected_until = std::max(host.affected_until, now() + duration);
 }
 
-void Deployment::harm_all(Duration duration)
+void Deployment::mark_all_affected(Duration duration)
 {
     for (auto& host : this->hosts)
         this->mark_affected(*host, duration);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -96,7 +96,7 @@
     void write_settings(HostInstance const&, double ratio) const;
     /// Faults touch the host from now on for this long.
     void mark_affected(HostInstance&, Duration);
-    void harm_all(Duration);
+    void mark_all_affected(Duration);
     /// Neither the host nor its links have been harmed since `instant`.
     [[nodiscard]] static bool is_calm_since(HostInstance const& host, Instant instant)
     {
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -166,7 +166,7 @@
 {
     this->note("the configuration changes, and all hosts are killed");
     this->deployment.put_configuration();
-    this->deployment.harm_all(longest_restart_delay + aftermath);
+    this->deployment.mark_all_affected(longest_restart_delay + aftermath);
     this->after(this->draw_duration(0s, longest_kill_delay), [this] {
         for (auto& host : this->deployment.hosts) {
             this->deployment.kill_host(*host);
@@ -215,7 +215,7 @@
 {
     auto duration = this->draw_fault_time();
     this->note(what);
-    this->deployment.harm_all(duration + aftermath);
+    this->deployment.mark_all_affected(duration + aftermath);
     this->deployment.store.set_mode(mode);
     this->after(duration, [this] { this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Serving); });
 }
@@ -233,7 +233,7 @@
 void FaultSchedule::platform_forgets()
 {
     this->note("the platform forgets its history");
-    this->deployment.harm_all(aftermath);
+    this->deployment.mark_all_affected(aftermath);
     this->deployment.store.forget_history();
 }
 
@@ -241,7 +241,7 @@
 {
     auto duration = this->draw_fault_time();
     this->note("the platform answers with an older state");
-    this->deployment.harm_all(duration + aftermath);
+    this->deployment.mark_all_affected(duration + aftermath);
     this->deployment.store.set_behind(versions_behind);
     this->after(duration, [this] { this->deployment.store.set_behind(0); });
 }
@@ -253,7 +253,7 @@
         return;
     auto duration = this->draw_fault_time();
     this->note("the platform is away, and entries lapse meanwhile");
-    this->deployment.harm_all(duration + Deployment::list_recovery_time + aftermath);
+    this->deployment.mark_all_affected(duration + Deployment::list_recovery_time + aftermath);
     this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Silent);
     for (auto* instance : serving)
         this->deployment.store.remove(Deployment::servers_table, instance->id);
@@ -350,7 +350,7 @@
         return;
     auto duration = this->draw_fault_time();
     this->note("the link to " + instance->id + " is harmed");
-    this->deployment.harm_all(duration + aftermath);
+    this->deployment.mark_all_affected(duration + aftermath);
     instance->affected_until = std::max(instance->affected_until, Deployment::now() + duration + aftermath);
     switch (this->draw_number(3)) {
     case 0:
@@ -371,7 +371,7 @@
     if (!instance)
         return;
     this->note("connections to " + instance->id + " are reset");
-    this->deployment.harm_all(aftermath);
+    this->deployment.mark_all_affected(aftermath);
     instance->affected_until = std::max(instance->affected_until, Deployment::now() + aftermath);
     instance->link->reset_all();
 }
@@ -384,7 +384,7 @@
     if (!instance)
         return;
     this->note(instance->id + " crashes");
-    this->deployment.harm_all(entry_lifetime + aftermath);
+    this->deployment.mark_all_affected(entry_lifetime + aftermath);
     this->deployment.end_runner(*instance);
     this->deployment.add_runner(instance->service, instance->domain);
     this->after(entry_lifetime, [this, instance] { this->deployment.remove_row(*instance); });
@@ -429,7 +429,7 @@
     if (!instance)
         return;
     this->note(instance->id + " spoils answers");
-    this->deployment.harm_all(aftermath);
+    this->deployment.mark_all_affected(aftermath);
     instance->spoils_answers = true;
     // The end is drawn anew each time: two to four in a row are likelier than one or six.
     for (u32 i = 0; i <= this->draw_number(most_spoiled_answers); ++i)
