--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -329,7 +329,7 @@
     auto status = host.daemon->take_end();
     if (!status) {
         bool const is_overdue = host.stopping_since && now() - *host.stopping_since > stop_grace + stop_lateness;
-        if (is_overdue && is_calm_since(host, *host.stopping_since)) {
+        if (is_overdue && is_unaffected_since(host, *host.stopping_since)) {
             this->checker.violation(host.name + " did not end within its grace after SIGTERM");
             host.stopping_since.reset();
             this->kill_host(host);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -98,14 +98,14 @@
     void mark_affected(HostInstance&, Duration);
     void mark_all_affected(Duration);
     /// Neither the host nor its links have been harmed since `instant`.
-    [[nodiscard]] static bool is_calm_since(HostInstance const& host, Instant instant)
+    [[nodiscard]] static bool is_unaffected_since(HostInstance const& host, Instant instant)
     {
         return host.affected_until < instant;
     }
     /// The same, for what begins at `instant`, which may still feel faults of shortly before.
     [[nodiscard]] static bool is_calm_for(HostInstance const& host, Instant instant)
     {
-        return is_calm_since(host, instant - calm_before);
+        return is_unaffected_since(host, instant - calm_before);
     }
 
     // --- backend servers
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -205,7 +205,7 @@
     this->note("changed settings of " + host.name);
     this->deployment.write_settings(host, retry_ratios.at(this->draw_number(static_cast<u32>(retry_ratios.size()))));
     // A process that has not yet come up would be ended by the signal.
-    if (Deployment::is_calm_since(host, Deployment::now()))
+    if (Deployment::is_unaffected_since(host, Deployment::now()))
         host.daemon->send_signal(SIGHUP);
 }
 
