--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -153,8 +153,8 @@
     if (sent.host_life == this->host.daemon->life())
         this->checker.check_probe_response(sent, version, answer);
     auto const taken_at = this->deployment.version_times.at(version);
-    bool const is_overdue
-        = sent.sent_at - taken_at > configuration_lateness && Deployment::is_calm_for(this->host, taken_at);
+    bool const is_overdue = sent.sent_at - taken_at > configuration_lateness
+        && Deployment::is_unaffected_with_margin(this->host, taken_at);
     if (is_overdue && answer.has(Http::Status::not_found))
         this->checker.violation(this->host.name + " does not know version " + std::to_string(version) + " in time");
 }
@@ -264,13 +264,13 @@
         return Ending::ClosedStreamBroken;
     if (stop)
         return Ending::ClosedHostStopping;
-    return Deployment::is_calm_for(this->host, sent.sent_at) ? Ending::ClosedHostUnaffected
-                                                             : Ending::ClosedHostAffected;
+    return Deployment::is_unaffected_with_margin(this->host, sent.sent_at) ? Ending::ClosedHostUnaffected
+                                                                           : Ending::ClosedHostAffected;
 }
 
 void Caller::check_promptness(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
 {
-    if (answer.caller_disconnected && Deployment::is_calm_for(this->host, sent.sent_at))
+    if (answer.caller_disconnected && Deployment::is_unaffected_with_margin(this->host, sent.sent_at))
         this->checker.violation(attempt + " got no answer in its time from " + this->host.name);
 }
 
@@ -278,7 +278,7 @@
 {
     auto const& stop = this->host.stopping_since;
     bool const was_cut = !answer.is_complete && !answer.caller_disconnected;
-    if (!stop || !was_cut || !Deployment::is_calm_for(this->host, sent.sent_at))
+    if (!stop || !was_cut || !Deployment::is_unaffected_with_margin(this->host, sent.sent_at))
         return;
     // A request that crosses the close is not passed on; one that was read is answered.
     bool const has_run = this->deployment.runs().contains(attempt);
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -173,7 +173,7 @@
     if (!instance.leaving_since || now() - *instance.leaving_since < latest_new_work)
         return;
     auto const* host = this->find_host(this->checker.host_of(attempt));
-    if (host && is_calm_for(*host, *instance.leaving_since))
+    if (host && is_unaffected_with_margin(*host, *instance.leaving_since))
         this->checker.violation(
             host->name + " still sends work (" + attempt + ") to " + instance.id + ", which is leaving");
 }
@@ -195,7 +195,7 @@
     if (!instance.limit || now() - instance.limit->since < limit_told_after)
         return;
     auto const* host = this->find_host(this->checker.host_of(attempt));
-    if (!host || !is_calm_for(*host, instance.limit->since))
+    if (!host || !is_unaffected_with_margin(*host, instance.limit->since))
         return;
     auto& arrivals = instance.limit->arrivals;
     arrivals.push_back(now());
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -103,7 +103,7 @@
         return host.affected_until < instant;
     }
     /// The same, for what begins at `instant`, which may still feel faults of shortly before.
-    [[nodiscard]] static bool is_calm_for(HostInstance const& host, Instant instant)
+    [[nodiscard]] static bool is_unaffected_with_margin(HostInstance const& host, Instant instant)
     {
         return is_unaffected_since(host, instant - calm_before);
     }
