--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -105,7 +105,7 @@
     /// The same, for what begins at `instant`, which may still feel faults of shortly before.
     [[nodiscard]] static bool is_unaffected_with_margin(HostInstance const& host, Instant instant)
     {
-        return is_unaffected_since(host, instant - calm_before);
+        return is_unaffected_since(host, instant - fault_margin);
     }
 
     // --- backend servers
@@ -157,7 +157,7 @@
     static constexpr Duration drain_time = 800ms;
     static constexpr Duration list_recovery_time = 2s;
     /// How shortly before an event faults may still be felt by it; chosen, on top of FaultSchedule::aftermath.
-    static constexpr Duration calm_before = 3s;
+    static constexpr Duration fault_margin = 3s;
 
 private:
     void make_host(std::string const& domain, u32 number);
