--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -278,7 +278,7 @@
 // --- links
 
 template<typename Link>
-Link& FaultSchedule::harm_link(HostInstance& host, Link& link, std::string const& what)
+Link& FaultSchedule::impair_link(HostInstance& host, Link& link, std::string const& what)
 {
     auto duration = this->draw_fault_time();
     this->note(what);
@@ -290,14 +290,14 @@
 void FaultSchedule::cut_platform_link()
 {
     auto& host = this->draw_host();
-    auto& link = this->harm_link(host, *host.platform_link, host.name + " is cut off from the platform one way");
+    auto& link = this->impair_link(host, *host.platform_link, host.name + " is cut off from the platform one way");
     link.hold(this->draw_direction());
 }
 
 void FaultSchedule::delay_platform_link()
 {
     auto& host = this->draw_host();
-    auto& link = this->harm_link(host, *host.platform_link, "a slow link from " + host.name + " to the platform");
+    auto& link = this->impair_link(host, *host.platform_link, "a slow link from " + host.name + " to the platform");
     link.set_delay(this->draw_duration(shortest_link_delay, longest_host_link_delay));
 }
 
@@ -312,14 +312,14 @@
 void FaultSchedule::cut_peer_link()
 {
     auto& host = this->draw_host();
-    auto& link = this->harm_link(host, *host.peer_link, "nothing of the other hosts reaches " + host.name);
+    auto& link = this->impair_link(host, *host.peer_link, "nothing of the other hosts reaches " + host.name);
     link.hold_all();
 }
 
 void FaultSchedule::delay_peer_link()
 {
     auto& host = this->draw_host();
-    auto& link = this->harm_link(host, *host.peer_link, "slow and lossy links from the other hosts to " + host.name);
+    auto& link = this->impair_link(host, *host.peer_link, "slow and lossy links from the other hosts to " + host.name);
     // Three times the share of packets that are lost on the worst days known (2.5 in 100).
     constexpr u32 loses_one_of = 13;
     link.set_slow_and_lossy(this->draw_duration(shortest_link_delay, longest_host_link_delay), loses_one_of);
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -73,7 +73,7 @@
     void begin_platform_mode(StandIn::PlatformStore::Mode, std::string const& what);
     /// Answers the link, which the caller harms; it heals by itself.
     template<typename Link>
-    Link& harm_link(HostInstance&, Link&, std::string const& what);
+    Link& impair_link(HostInstance&, Link&, std::string const& what);
     void restart_later(HostInstance&);
     void end_leaving(RunnerInstance&, Duration time_left);
     /// Does nothing once heal() has been called.
