--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -62,7 +62,7 @@
             &FaultSchedule::platform_busy, &FaultSchedule::platform_silent, &FaultSchedule::platform_forgets,
             &FaultSchedule::platform_behind, &FaultSchedule::entries_lapse, &FaultSchedule::cut_platform_link,
             &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::cut_peer_link,
-            &FaultSchedule::delay_peer_link, &FaultSchedule::cut_domain, &FaultSchedule::harm_runner_link,
+            &FaultSchedule::delay_peer_link, &FaultSchedule::cut_domain, &FaultSchedule::impair_runner_link,
             &FaultSchedule::reset_runner_link, &FaultSchedule::crash_runner, &FaultSchedule::spoil_answers });
     return kinds;
 }
@@ -343,7 +343,7 @@
     }
 }
 
-void FaultSchedule::harm_runner_link()
+void FaultSchedule::impair_runner_link()
 {
     auto* instance = this->draw_runner();
     if (!instance)
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -62,7 +62,7 @@
     void cut_peer_link();
     void delay_peer_link();
     void cut_domain();
-    void harm_runner_link();
+    void impair_runner_link();
     void reset_runner_link();
     // Of backend servers.
     void crash_runner();
