--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -60,7 +60,7 @@
     if (mix == Mix::Everything)
         add({ &FaultSchedule::kill_host, &FaultSchedule::kill_all_after_change, &FaultSchedule::freeze_host,
             &FaultSchedule::platform_busy, &FaultSchedule::platform_silent, &FaultSchedule::platform_forgets,
-            &FaultSchedule::platform_behind, &FaultSchedule::entries_lapse, &FaultSchedule::cut_platform_link,
+            &FaultSchedule::platform_behind, &FaultSchedule::entries_lapse, &FaultSchedule::block_platform_link,
             &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::cut_peer_link,
             &FaultSchedule::delay_peer_link, &FaultSchedule::cut_domain, &FaultSchedule::impair_runner_link,
             &FaultSchedule::reset_runner_link, &FaultSchedule::crash_runner, &FaultSchedule::spoil_answers });
@@ -287,7 +287,7 @@
     return link;
 }
 
-void FaultSchedule::cut_platform_link()
+void FaultSchedule::block_platform_link()
 {
     auto& host = this->draw_host();
     auto& link = this->impair_link(host, *host.platform_link, host.name + " is cut off from the platform one way");
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -56,7 +56,7 @@
     void entries_lapse();
     void change_configuration();
     // Of links.
-    void cut_platform_link();
+    void block_platform_link();
     void delay_platform_link();
     void reset_platform_link();
     void cut_peer_link();
