--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -61,7 +61,7 @@
         add({ &FaultSchedule::kill_host, &FaultSchedule::kill_all_after_change, &FaultSchedule::freeze_host,
             &FaultSchedule::platform_busy, &FaultSchedule::platform_silent, &FaultSchedule::platform_forgets,
             &FaultSchedule::platform_behind, &FaultSchedule::entries_lapse, &FaultSchedule::block_platform_link,
-            &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::cut_peer_link,
+            &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::block_peer_link,
             &FaultSchedule::delay_peer_link, &FaultSchedule::cut_domain, &FaultSchedule::impair_runner_link,
             &FaultSchedule::reset_runner_link, &FaultSchedule::crash_runner, &FaultSchedule::spoil_answers });
     return kinds;
@@ -309,7 +309,7 @@
     host.platform_link->reset_all();
 }
 
-void FaultSchedule::cut_peer_link()
+void FaultSchedule::block_peer_link()
 {
     auto& host = this->draw_host();
     auto& link = this->impair_link(host, *host.peer_link, "nothing of the other hosts reaches " + host.name);
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -59,7 +59,7 @@
     void block_platform_link();
     void delay_platform_link();
     void reset_platform_link();
-    void cut_peer_link();
+    void block_peer_link();
     void delay_peer_link();
     void cut_domain();
     void impair_runner_link();
