--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -62,7 +62,7 @@
             &FaultSchedule::platform_busy, &FaultSchedule::platform_silent, &FaultSchedule::platform_forgets,
             &FaultSchedule::platform_behind, &FaultSchedule::entries_lapse, &FaultSchedule::block_platform_link,
             &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::block_peer_link,
-            &FaultSchedule::delay_peer_link, &FaultSchedule::cut_domain, &FaultSchedule::impair_runner_link,
+            &FaultSchedule::delay_peer_link, &FaultSchedule::isolate_domain, &FaultSchedule::impair_runner_link,
             &FaultSchedule::reset_runner_link, &FaultSchedule::crash_runner, &FaultSchedule::spoil_answers });
     return kinds;
 }
@@ -325,7 +325,7 @@
     link.set_slow_and_lossy(this->draw_duration(shortest_link_delay, longest_host_link_delay), loses_one_of);
 }
 
-void FaultSchedule::cut_domain()
+void FaultSchedule::isolate_domain()
 {
     auto const domain = this->deployment.domain(this->draw_number(domain_draws));
     auto duration = this->draw_fault_time();
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -61,7 +61,7 @@
     void reset_platform_link();
     void block_peer_link();
     void delay_peer_link();
-    void cut_domain();
+    void isolate_domain();
     void impair_runner_link();
     void reset_runner_link();
     // Of backend servers.
