--- a/Tests/Soak/Daemon.h
+++ b/Tests/Soak/Daemon.h
@@ -30,7 +30,7 @@
 
     [[nodiscard]] bool is_running() const { return this->process_id > 0; }
     /// Counts starts: what one life of the process believes ends with it.
-    [[nodiscard]] u32 life() const { return this->lives; }
+    [[nodiscard]] u32 incarnation() const { return this->lives; }
 
 private:
     std::string program;
