--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -150,7 +150,7 @@
 void Caller::check_probe(u64 version, SentRequest const& sent, ObservedResponse const& answer)
 {
     // The process may have been replaced between the request and its answer.
-    if (sent.host_life == this->host.daemon->incarnation())
+    if (sent.host_incarnation == this->host.daemon->incarnation())
         this->checker.check_probe_response(sent, version, answer);
     auto const taken_at = this->deployment.version_times.at(version);
     bool const is_overdue = sent.sent_at - taken_at > configuration_lateness
@@ -234,7 +234,7 @@
 bool Caller::is_host_terminated(SentRequest const& sent) const
 {
     bool const has_ended_by_itself = !this->host.daemon->is_running() && !this->host.stopping_since;
-    return this->host.was_killed || has_ended_by_itself || sent.host_life != this->host.daemon->incarnation();
+    return this->host.was_killed || has_ended_by_itself || sent.host_incarnation != this->host.daemon->incarnation();
 }
 
 Ending Caller::refusal(SentRequest const& sent) const
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -180,7 +180,7 @@
 
 void PromiseChecker::check_probe_response(SentRequest const& request, u64 version, ObservedResponse const& answer)
 {
-    auto& served = this->served_probes[{ request.host, request.host_life }];
+    auto& served = this->served_probes[{ request.host, request.host_incarnation }];
     if (answer.has(Http::Status::ok))
         served.insert(version);
     // A route that a host has served in this life was added by a version that is in force, and none is ever dropped.
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -19,7 +19,7 @@
     CallKind kind { CallKind::Lookup };
     std::string host;
     /// The life of the host's process, as of Daemon::life(), at the time of sending.
-    u32 host_life { 0 };
+    u32 host_incarnation { 0 };
     std::string target;
     std::string body;
     Instant sent_at {};
