--- a/Tests/Soak/Daemon.cpp
+++ b/Tests/Soak/Daemon.cpp
@@ -56,7 +56,7 @@
         ::kill(this->process_id, number);
 }
 
-std::optional<int> Daemon::take_end()
+std::optional<int> Daemon::reap()
 {
     int status = 0;
     if (!this->is_running() || ::waitpid(this->process_id, &status, WNOHANG) != this->process_id)
--- a/Tests/Soak/Daemon.h
+++ b/Tests/Soak/Daemon.h
@@ -26,7 +26,7 @@
     void start();
     void send_signal(int number) const;
     /// How the process ended, once after each end; nothing while it runs. As of waitpid(2).
-    std::optional<int> take_end();
+    std::optional<int> reap();
 
     [[nodiscard]] bool is_running() const { return this->process_id > 0; }
     /// Counts starts: what one life of the process believes ends with it.
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -326,7 +326,7 @@
 
 void Deployment::look_after(HostInstance& host)
 {
-    auto status = host.daemon->take_end();
+    auto status = host.daemon->reap();
     if (!status) {
         bool const is_overdue = host.stopping_since && now() - *host.stopping_since > stop_grace + stop_lateness;
         if (is_overdue && is_unaffected_since(host, *host.stopping_since)) {
