--- a/Tests/Soak/DatagramProxy.h
+++ b/Tests/Soak/DatagramProxy.h
@@ -29,7 +29,7 @@
 
 private:
     using Udp = Http::asio::ip::udp;
-    static constexpr size_t largest_datagram_bytes = 65'536;
+    static constexpr size_t max_datagram_bytes = 65'536;
 
     void receive();
     void forward(std::string datagram);
@@ -39,7 +39,7 @@
     Http::tcp::endpoint target;
     Udp::socket socket;
     Udp::endpoint sender;
-    std::array<char, largest_datagram_bytes> buffer {};
+    std::array<char, max_datagram_bytes> buffer {};
     bool is_cut { false };
     Duration delay { 0 };
     u32 lost_one_of { 0 };
