--- a/Tests/Soak/DatagramProxy.cpp
+++ b/Tests/Soak/DatagramProxy.cpp
@@ -23,10 +23,10 @@
     this->receive();
 }
 
-void DatagramProxy::set_slow_and_lossy(Duration taken_delay, u32 loses_one_of)
+void DatagramProxy::set_slow_and_lossy(Duration taken_delay, u32 drop_one_in)
 {
     this->delay = taken_delay;
-    this->lost_one_of = loses_one_of;
+    this->lost_one_of = drop_one_in;
 }
 
 void DatagramProxy::heal()
--- a/Tests/Soak/DatagramProxy.h
+++ b/Tests/Soak/DatagramProxy.h
@@ -23,7 +23,7 @@
     [[nodiscard]] Http::tcp::endpoint const& endpoint() const { return this->listen; }
     [[nodiscard]] Http::tcp::endpoint const& target_endpoint() const { return this->target; }
     /// From now on datagrams are this late, and one of so many is lost.
-    void set_slow_and_lossy(Duration taken_delay, u32 loses_one_of);
+    void set_slow_and_lossy(Duration taken_delay, u32 drop_one_in);
     void hold_all() { this->is_cut = true; }
     void heal();
 
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -321,8 +321,8 @@
     auto& host = this->draw_host();
     auto& link = this->impair_link(host, *host.peer_link, "slow and lossy links from the other hosts to " + host.name);
     // Three times the share of packets that are lost on the worst days known (2.5 in 100).
-    constexpr u32 loses_one_of = 13;
-    link.set_slow_and_lossy(this->draw_duration(shortest_link_delay, longest_host_link_delay), loses_one_of);
+    constexpr u32 drop_one_in = 13;
+    link.set_slow_and_lossy(this->draw_duration(shortest_link_delay, longest_host_link_delay), drop_one_in);
 }
 
 void FaultSchedule::isolate_domain()
