--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -225,7 +225,7 @@
     auto const host = this->checker.host_of(attempt);
     if (auto const broken = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
         this->checker.violation(*broken + " (" + attempt + ')');
-    if (instance.runner->is_saying_it_leaves() && !instance.spoils_answers)
+    if (instance.runner->is_saying_it_leaves() && !instance.corrupts_responses)
         this->notices.record_leaving(instance.id, host, now());
 }
 
@@ -307,7 +307,7 @@
         // A stream that moves may end at an engine that it has not reached yet, or by a spoiled answer to its going on.
         bool const is_concerned = reached.contains(instance.id) || (is_moved && instance.service == engine_service);
         bool const has_failed = instance.ended_at >= instant || instance.affected_until >= instant;
-        return is_concerned && (has_failed || (is_moved && instance.spoils_answers));
+        return is_concerned && (has_failed || (is_moved && instance.corrupts_responses));
     });
 }
 
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -62,7 +62,7 @@
     bool has_ended { false };
     Instant ended_at {};
     /// Was told to, some time; the next requests that reach it get what it was told.
-    bool spoils_answers { false };
+    bool corrupts_responses { false };
     Instant affected_until {};
     std::optional<NamedLimit> limit;
 };
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -430,7 +430,7 @@
         return;
     this->note(instance->id + " spoils answers");
     this->deployment.mark_all_affected(aftermath);
-    instance->spoils_answers = true;
+    instance->corrupts_responses = true;
     // The end is drawn anew each time: two to four in a row are likelier than one or six.
     for (u32 i = 0; i <= this->draw_number(most_spoiled_answers); ++i)
         instance->runner->add_fault(faults.at(this->draw_number(static_cast<u32>(faults.size()))));
