--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -54,8 +54,8 @@
     auto add = [&kinds](std::initializer_list<Begin> more) { kinds.insert(kinds.end(), more); };
     // Five times, so that spoiled answers are as likely as all planned work.
     if (mix == Mix::Answers)
-        add({ &FaultSchedule::spoil_answers, &FaultSchedule::spoil_answers, &FaultSchedule::spoil_answers,
-            &FaultSchedule::spoil_answers, &FaultSchedule::spoil_answers, &FaultSchedule::crash_runner,
+        add({ &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses,
+            &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses, &FaultSchedule::crash_runner,
             &FaultSchedule::reset_runner_link });
     if (mix == Mix::Everything)
         add({ &FaultSchedule::kill_host, &FaultSchedule::kill_all_after_change, &FaultSchedule::freeze_host,
@@ -63,7 +63,7 @@
             &FaultSchedule::platform_behind, &FaultSchedule::entries_lapse, &FaultSchedule::block_platform_link,
             &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::block_peer_link,
             &FaultSchedule::delay_peer_link, &FaultSchedule::isolate_domain, &FaultSchedule::impair_runner_link,
-            &FaultSchedule::reset_runner_link, &FaultSchedule::crash_runner, &FaultSchedule::spoil_answers });
+            &FaultSchedule::reset_runner_link, &FaultSchedule::crash_runner, &FaultSchedule::corrupt_responses });
     return kinds;
 }
 
@@ -421,7 +421,7 @@
     this->end_leaving(*instance, Deployment::drain_time);
 }
 
-void FaultSchedule::spoil_answers()
+void FaultSchedule::corrupt_responses()
 {
     static constexpr std::array faults { Fault::NotRun, Fault::Misdirected, Fault::LoseAnswer, Fault::Fail,
         Fault::Unsigned, Fault::Hang };
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -68,7 +68,7 @@
     void crash_runner();
     void drain_runner();
     void vanish_runner();
-    void spoil_answers();
+    void corrupt_responses();
 
     void begin_platform_mode(StandIn::PlatformStore::Mode, std::string const& what);
     /// Answers the link, which the caller harms; it heals by itself.
