--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -51,7 +51,7 @@
 void BackgroundFaults::start()
 {
     this->stall_hosts();
-    this->spoil_entries();
+    this->corrupt_entries();
     this->name_limits();
     this->ask_for_back_off();
 }
@@ -85,7 +85,7 @@
         draw_between(this->stall_random, shortest_stall_pause, longest_stall_pause), [this] { this->stall_hosts(); });
 }
 
-void BackgroundFaults::spoil_entries()
+void BackgroundFaults::corrupt_entries()
 {
     static constexpr std::array<std::string_view, 6> values { "", "no entry", R"({"service":"models"})",
         R"({"service":7,"addr":[],"zone":null,"slots":1e300,"state":"ready","cold_left_ms":-1,"born":1.5})",
@@ -101,8 +101,8 @@
         this->spoilt = living.at(draw_below(this->entry_random, static_cast<u32>(living.size())));
         this->deployment.put_entry(*this->spoilt, std::string(value));
     }
-    this->after(
-        draw_between(this->entry_random, shortest_stall_pause, longest_stall_pause), [this] { this->spoil_entries(); });
+    this->after(draw_between(this->entry_random, shortest_stall_pause, longest_stall_pause),
+        [this] { this->corrupt_entries(); });
 }
 
 void BackgroundFaults::restore_entry()
--- a/Tests/Soak/BackgroundFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -32,7 +32,7 @@
     void stall_hosts();
     /// Another writer spoils the entry of one backend server after another, all the time. The server lives
     /// on, so that it is no harm either.
-    void spoil_entries();
+    void corrupt_entries();
     void restore_entry();
     /// Backend servers turn all away for a moment and ask for back-off, all the time: one or all of a
     /// service, so that such times overlap.
