--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -98,8 +98,8 @@
     }
     auto const value = values.at(draw_below(this->entry_random, values.size()));
     if (!living.empty()) {
-        this->spoilt = living.at(draw_below(this->entry_random, static_cast<u32>(living.size())));
-        this->deployment.put_entry(*this->spoilt, std::string(value));
+        this->corrupted_server = living.at(draw_below(this->entry_random, static_cast<u32>(living.size())));
+        this->deployment.put_entry(*this->corrupted_server, std::string(value));
     }
     this->after(draw_between(this->entry_random, shortest_stall_pause, longest_stall_pause),
         [this] { this->corrupt_entries(); });
@@ -107,7 +107,7 @@
 
 void BackgroundFaults::restore_entry()
 {
-    auto* instance = std::exchange(this->spoilt, nullptr);
+    auto* instance = std::exchange(this->corrupted_server, nullptr);
     if (instance && !instance->has_ended && !instance->leaving_since)
         this->deployment.put_row(*instance);
 }
--- a/Tests/Soak/BackgroundFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -49,7 +49,7 @@
     boost::random::mt19937 limit_random;
     boost::random::mt19937 back_off_random;
     /// Whose entry is spoilt just now.
-    RunnerInstance* spoilt { nullptr };
+    RunnerInstance* corrupted_server { nullptr };
     /// Who names a limit just now.
     RunnerInstance* limited { nullptr };
     bool is_over { false };
