--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -60,8 +60,8 @@
 {
     this->is_over = true;
     this->restore_entry();
-    if (this->limited)
-        Deployment::name_no_limit(*this->limited);
+    if (this->limited_server)
+        Deployment::name_no_limit(*this->limited_server);
     for (auto& instance : this->deployment.runners)
         Deployment::take_all_again(instance);
 }
@@ -116,11 +116,12 @@
 {
     constexpr u32 lowest = 1;
     constexpr u32 rates = 2;
-    bool const is_over_there = this->limited && (this->limited->has_ended || this->limited->leaving_since);
+    bool const is_over_there
+        = this->limited_server && (this->limited_server->has_ended || this->limited_server->leaving_since);
     auto const serving = this->deployment.serving(plain_service);
-    if ((!this->limited || is_over_there) && serving.size() >= fewest_serving) {
-        this->limited = serving.at(draw_below(this->limit_random, static_cast<u32>(serving.size())));
-        Deployment::name_limit(*this->limited, lowest + draw_below(this->limit_random, rates));
+    if ((!this->limited_server || is_over_there) && serving.size() >= fewest_serving) {
+        this->limited_server = serving.at(draw_below(this->limit_random, static_cast<u32>(serving.size())));
+        Deployment::name_limit(*this->limited_server, lowest + draw_below(this->limit_random, rates));
     }
     this->after(shortest_stall_pause, [this] { this->name_limits(); });
 }
--- a/Tests/Soak/BackgroundFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -51,7 +51,7 @@
     /// Whose entry is spoilt just now.
     RunnerInstance* corrupted_server { nullptr };
     /// Who names a limit just now.
-    RunnerInstance* limited { nullptr };
+    RunnerInstance* limited_server { nullptr };
     bool is_over { false };
 };
 
