--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -134,7 +134,7 @@
     if (!all_ask && !asking.empty())
         asking = { asking.at(draw_below(this->back_off_random, static_cast<u32>(asking.size()))) };
     for (auto* instance : asking) {
-        this->deployment.turn_away(
+        this->deployment.reject_all(
             *instance, draw_between(this->back_off_random, shortest_back_off_asked, longest_back_off_asked));
         this->after(draw_between(this->back_off_random, shortest_turning_away, longest_turning_away),
             [instance] { Deployment::take_all_again(*instance); });
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -207,7 +207,7 @@
             + " a second and got " + std::to_string(arrivals.size()) + " in 4 s");
 }
 
-void Deployment::turn_away(RunnerInstance& instance, Duration back_off)
+void Deployment::reject_all(RunnerInstance& instance, Duration back_off)
 {
     instance.runner->turn_away(std::to_string(AK::to_seconds(back_off)));
     instance.runner->on_turned_away = [this, &instance, back_off](auto const& received) {
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -122,7 +122,7 @@
     static void name_limit(RunnerInstance&, double per_second);
     static void name_no_limit(RunnerInstance&);
     /// Turns every request away from now on and asks its host for so long without any.
-    void turn_away(RunnerInstance&, Duration back_off);
+    void reject_all(RunnerInstance&, Duration back_off);
     static void take_all_again(RunnerInstance&);
     /// Breaks its connections; its row stays.
     void end_runner(RunnerInstance&);
