--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -63,7 +63,7 @@
     if (this->limited_server)
         Deployment::name_no_limit(*this->limited_server);
     for (auto& instance : this->deployment.runners)
-        Deployment::take_all_again(instance);
+        Deployment::accept_again(instance);
 }
 
 void BackgroundFaults::after(Duration delay, std::function<void()> action)
@@ -137,7 +137,7 @@
         this->deployment.reject_all(
             *instance, draw_between(this->back_off_random, shortest_back_off_asked, longest_back_off_asked));
         this->after(draw_between(this->back_off_random, shortest_turning_away, longest_turning_away),
-            [instance] { Deployment::take_all_again(*instance); });
+            [instance] { Deployment::accept_again(*instance); });
     }
     this->after(draw_between(this->back_off_random, shortest_stall_pause, longest_stall_pause),
         [this] { this->ask_for_back_off(); });
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -216,7 +216,7 @@
     };
 }
 
-void Deployment::take_all_again(RunnerInstance& instance) { instance.runner->turn_away({}); }
+void Deployment::accept_again(RunnerInstance& instance) { instance.runner->turn_away({}); }
 
 void Deployment::check_notices(RunnerInstance const& instance, std::string const& attempt)
 {
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -123,7 +123,7 @@
     static void name_no_limit(RunnerInstance&);
     /// Turns every request away from now on and asks its host for so long without any.
     void reject_all(RunnerInstance&, Duration back_off);
-    static void take_all_again(RunnerInstance&);
+    static void accept_again(RunnerInstance&);
     /// Breaks its connections; its row stays.
     void end_runner(RunnerInstance&);
     /// Those that take work, of one service.
