--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -121,7 +121,7 @@
     auto const serving = this->deployment.serving(plain_service);
     if ((!this->limited_server || is_over_there) && serving.size() >= fewest_serving) {
         this->limited_server = serving.at(draw_below(this->limit_random, static_cast<u32>(serving.size())));
-        Deployment::name_limit(*this->limited_server, lowest + draw_below(this->limit_random, rates));
+        Deployment::advertise_limit(*this->limited_server, lowest + draw_below(this->limit_random, rates));
     }
     this->after(shortest_stall_pause, [this] { this->name_limits(); });
 }
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -178,7 +178,7 @@
             host->name + " still sends work (" + attempt + ") to " + instance.id + ", which is leaving");
 }
 
-void Deployment::name_limit(RunnerInstance& instance, double per_second)
+void Deployment::advertise_limit(RunnerInstance& instance, double per_second)
 {
     instance.limit = NamedLimit { per_second, now(), {} };
     instance.runner->set_limit(std::to_string(per_second));
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -119,7 +119,7 @@
     /// Writes its entry in its place.
     void put_entry(RunnerInstance const&, std::string const& value);
     /// Names a limit in its answers from now on; until heal() or its end.
-    static void name_limit(RunnerInstance&, double per_second);
+    static void advertise_limit(RunnerInstance&, double per_second);
     static void name_no_limit(RunnerInstance&);
     /// Turns every request away from now on and asks its host for so long without any.
     void reject_all(RunnerInstance&, Duration back_off);
