--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -61,7 +61,7 @@
     this->is_over = true;
     this->restore_entry();
     if (this->limited_server)
-        Deployment::name_no_limit(*this->limited_server);
+        Deployment::withdraw_limit(*this->limited_server);
     for (auto& instance : this->deployment.runners)
         Deployment::accept_again(instance);
 }
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -184,7 +184,7 @@
     instance.runner->set_limit(std::to_string(per_second));
 }
 
-void Deployment::name_no_limit(RunnerInstance& instance)
+void Deployment::withdraw_limit(RunnerInstance& instance)
 {
     instance.limit.reset();
     instance.runner->set_limit({});
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -120,7 +120,7 @@
     void put_entry(RunnerInstance const&, std::string const& value);
     /// Names a limit in its answers from now on; until heal() or its end.
     static void advertise_limit(RunnerInstance&, double per_second);
-    static void name_no_limit(RunnerInstance&);
+    static void withdraw_limit(RunnerInstance&);
     /// Turns every request away from now on and asks its host for so long without any.
     void reject_all(RunnerInstance&, Duration back_off);
     static void accept_again(RunnerInstance&);
