--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -52,7 +52,7 @@
 {
     this->stall_hosts();
     this->corrupt_entries();
-    this->name_limits();
+    this->advertise_limits();
     this->ask_for_back_off();
 }
 
@@ -112,7 +112,7 @@
         this->deployment.put_row(*instance);
 }
 
-void BackgroundFaults::name_limits()
+void BackgroundFaults::advertise_limits()
 {
     constexpr u32 lowest = 1;
     constexpr u32 rates = 2;
@@ -123,7 +123,7 @@
         this->limited_server = serving.at(draw_below(this->limit_random, static_cast<u32>(serving.size())));
         Deployment::advertise_limit(*this->limited_server, lowest + draw_below(this->limit_random, rates));
     }
-    this->after(shortest_stall_pause, [this] { this->name_limits(); });
+    this->after(shortest_stall_pause, [this] { this->advertise_limits(); });
 }
 
 void BackgroundFaults::ask_for_back_off()
--- a/Tests/Soak/BackgroundFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -38,7 +38,7 @@
     /// service, so that such times overlap.
     void ask_for_back_off();
     /// One plain server at a time names a limit, all the time; others serve what it does not take.
-    void name_limits();
+    void advertise_limits();
     /// Does nothing once end() has been called.
     void after(Duration, std::function<void()>);
 
