--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -321,10 +321,10 @@
         this->checker.record_running(instance.id, instance.runner->running(), at < instance.affected_until, at);
     }
     for (auto& host : this->hosts)
-        this->look_after(*host);
+        this->check_process(*host);
 }
 
-void Deployment::look_after(HostInstance& host)
+void Deployment::check_process(HostInstance& host)
 {
     auto status = host.daemon->reap();
     if (!status) {
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -165,7 +165,7 @@
     void check_leaving(RunnerInstance const&, std::string const& attempt);
     void check_limit(RunnerInstance&, std::string const& attempt);
     void check_notices(RunnerInstance const&, std::string const& attempt);
-    void look_after(HostInstance&);
+    void check_process(HostInstance&);
 
     Http::asio::io_context& loop;
     PromiseChecker& checker;
