--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -260,7 +260,7 @@
     // A stream whose head has been passed on cannot be given another answer; every other request can.
     bool const is_stream = sent.kind == CallKind::Draft && answer.is_success();
     bool const had_time = Deployment::now() - sent.sent_at < route_of(sent.kind).timeout;
-    if (is_stream && (!had_time || this->deployment.engine_may_have_cut(attempt, sent.sent_at)))
+    if (is_stream && (!had_time || this->deployment.engine_may_have_interrupted(attempt, sent.sent_at)))
         return Ending::ClosedStreamBroken;
     if (stop)
         return Ending::ClosedHostStopping;
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -299,7 +299,7 @@
     });
 }
 
-bool Deployment::engine_may_have_cut(std::string const& attempt, Instant instant) const
+bool Deployment::engine_may_have_interrupted(std::string const& attempt, Instant instant) const
 {
     auto const reached = this->checker.runners_of(attempt);
     bool const is_moved = this->was_moved(attempt);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -147,7 +147,7 @@
     [[nodiscard]] std::map<std::string, u32> runs() const;
     /// Whether what an engine did, or what was done to it, can have ended a stream that was under way since `instant`.
     /// Leaving alone cannot: streams move.
-    [[nodiscard]] bool engine_may_have_cut(std::string const& attempt, Instant instant) const;
+    [[nodiscard]] bool engine_may_have_interrupted(std::string const& attempt, Instant instant) const;
     /// Null when no host has the name.
     [[nodiscard]] HostInstance const* find_host(std::string const& name) const;
     [[nodiscard]] static Instant now() { return AK::BootClock::now(); }
