--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -119,7 +119,7 @@
     bool const is_over_there
         = this->limited_server && (this->limited_server->has_ended || this->limited_server->leaving_since);
     auto const serving = this->deployment.serving(plain_service);
-    if ((!this->limited_server || is_over_there) && serving.size() >= fewest_serving) {
+    if ((!this->limited_server || is_over_there) && serving.size() >= min_serving) {
         this->limited_server = serving.at(draw_below(this->limit_random, static_cast<u32>(serving.size())));
         Deployment::advertise_limit(*this->limited_server, lowest + draw_below(this->limit_random, rates));
     }
--- a/Tests/Soak/BackgroundFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -11,7 +11,7 @@
 namespace Soak {
 
 /// A service keeps at least so many backend servers that take work.
-inline constexpr size_t fewest_serving = 2;
+inline constexpr size_t min_serving = 2;
 
 /// A number from 0 to below `below`.
 u32 draw_below(boost::random::mt19937&, u32 below);
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -140,7 +140,7 @@
 {
     auto const* service = this->draw_number(draws_per_plain_server) == 0 ? plain_service : engine_service;
     auto serving = this->deployment.serving(service);
-    if (serving.size() <= fewest_serving)
+    if (serving.size() <= min_serving)
         return nullptr;
     return serving.at(this->draw_number(static_cast<u32>(serving.size())));
 }
