--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -102,7 +102,7 @@
         instance.link->heal();
 }
 
-void FaultSchedule::note(std::string const& what) const
+void FaultSchedule::log_fault(std::string const& what) const
 {
     std::cout << "  " << AK::to_milliseconds(Deployment::now() - this->started_at) << " ms  " << what << std::endl;
 }
@@ -157,14 +157,14 @@
 void FaultSchedule::kill_host()
 {
     auto& host = this->draw_host();
-    this->note("kill " + host.name);
+    this->log_fault("kill " + host.name);
     this->deployment.kill_host(host);
     this->restart_later(host);
 }
 
 void FaultSchedule::kill_all_after_change()
 {
-    this->note("the configuration changes, and all hosts are killed");
+    this->log_fault("the configuration changes, and all hosts are killed");
     this->deployment.put_configuration();
     this->deployment.mark_all_affected(longest_restart_delay + aftermath);
     this->after(this->draw_duration(0s, longest_kill_delay), [this] {
@@ -180,7 +180,7 @@
     auto& host = this->draw_host();
     if (!host.daemon->is_running() || host.stopping_since)
         return;
-    this->note("planned stop of " + host.name);
+    this->log_fault("planned stop of " + host.name);
     this->deployment.stop_host(host);
     // Started again by the time its grace is over; its end does no harm in itself.
     auto delay = Deployment::stop_grace + this->draw_duration(shortest_fault, longest_restart_delay);
@@ -194,7 +194,7 @@
 {
     auto& host = this->draw_host();
     auto duration = this->draw_fault_time();
-    this->note("freeze " + host.name);
+    this->log_fault("freeze " + host.name);
     this->deployment.mark_affected(host, duration + aftermath);
     this->deployment.freeze_host(host, duration);
 }
@@ -202,7 +202,7 @@
 void FaultSchedule::reload_host()
 {
     auto& host = this->draw_host();
-    this->note("changed settings of " + host.name);
+    this->log_fault("changed settings of " + host.name);
     this->deployment.write_settings(host, retry_ratios.at(this->draw_number(static_cast<u32>(retry_ratios.size()))));
     // A process that has not yet come up would be ended by the signal.
     if (Deployment::is_unaffected_since(host, Deployment::now()))
@@ -214,7 +214,7 @@
 void FaultSchedule::begin_platform_mode(StandIn::PlatformStore::Mode mode, std::string const& what)
 {
     auto duration = this->draw_fault_time();
-    this->note(what);
+    this->log_fault(what);
     this->deployment.mark_all_affected(duration + aftermath);
     this->deployment.store.set_mode(mode);
     this->after(duration, [this] { this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Serving); });
@@ -232,7 +232,7 @@
 
 void FaultSchedule::platform_forgets()
 {
-    this->note("the platform forgets its history");
+    this->log_fault("the platform forgets its history");
     this->deployment.mark_all_affected(aftermath);
     this->deployment.store.forget_history();
 }
@@ -240,7 +240,7 @@
 void FaultSchedule::platform_behind()
 {
     auto duration = this->draw_fault_time();
-    this->note("the platform answers with an older state");
+    this->log_fault("the platform answers with an older state");
     this->deployment.mark_all_affected(duration + aftermath);
     this->deployment.store.set_behind(versions_behind);
     this->after(duration, [this] { this->deployment.store.set_behind(0); });
@@ -252,7 +252,7 @@
     if (serving.empty())
         return;
     auto duration = this->draw_fault_time();
-    this->note("the platform is away, and entries lapse meanwhile");
+    this->log_fault("the platform is away, and entries lapse meanwhile");
     this->deployment.mark_all_affected(duration + Deployment::list_recovery_time + aftermath);
     this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Silent);
     for (auto* instance : serving)
@@ -271,7 +271,7 @@
 
 void FaultSchedule::change_configuration()
 {
-    this->note("the configuration changes");
+    this->log_fault("the configuration changes");
     this->deployment.put_configuration();
 }
 
@@ -281,7 +281,7 @@
 Link& FaultSchedule::impair_link(HostInstance& host, Link& link, std::string const& what)
 {
     auto duration = this->draw_fault_time();
-    this->note(what);
+    this->log_fault(what);
     this->deployment.mark_affected(host, duration + aftermath);
     this->after(duration, [&link] { link.heal(); });
     return link;
@@ -304,7 +304,7 @@
 void FaultSchedule::reset_platform_link()
 {
     auto& host = this->draw_host();
-    this->note("connections of " + host.name + " to the platform are reset");
+    this->log_fault("connections of " + host.name + " to the platform are reset");
     this->deployment.mark_affected(host, aftermath);
     host.platform_link->reset_all();
 }
@@ -329,7 +329,7 @@
 {
     auto const domain = this->deployment.domain(this->draw_number(domain_draws));
     auto duration = this->draw_fault_time();
-    this->note(domain + " is cut off from the platform and the other hosts");
+    this->log_fault(domain + " is cut off from the platform and the other hosts");
     for (auto& host : this->deployment.hosts) {
         if (host->domain != domain)
             continue;
@@ -349,7 +349,7 @@
     if (!instance)
         return;
     auto duration = this->draw_fault_time();
-    this->note("the link to " + instance->id + " is harmed");
+    this->log_fault("the link to " + instance->id + " is harmed");
     this->deployment.mark_all_affected(duration + aftermath);
     instance->affected_until = std::max(instance->affected_until, Deployment::now() + duration + aftermath);
     switch (this->draw_number(3)) {
@@ -370,7 +370,7 @@
     auto* instance = this->draw_runner();
     if (!instance)
         return;
-    this->note("connections to " + instance->id + " are reset");
+    this->log_fault("connections to " + instance->id + " are reset");
     this->deployment.mark_all_affected(aftermath);
     instance->affected_until = std::max(instance->affected_until, Deployment::now() + aftermath);
     instance->link->reset_all();
@@ -383,7 +383,7 @@
     auto* instance = this->draw_runner();
     if (!instance)
         return;
-    this->note(instance->id + " crashes");
+    this->log_fault(instance->id + " crashes");
     this->deployment.mark_all_affected(entry_lifetime + aftermath);
     this->deployment.end_runner(*instance);
     this->deployment.add_runner(instance->service, instance->domain);
@@ -403,7 +403,7 @@
     auto* instance = this->draw_runner();
     if (!instance)
         return;
-    this->note(instance->id + " drains");
+    this->log_fault(instance->id + " drains");
     auto time_left = Deployment::drain_time + this->draw_duration(0s, longest_extra_notice);
     this->deployment.add_runner(instance->service, instance->domain);
     this->deployment.drain(*instance, time_left);
@@ -415,7 +415,7 @@
     auto* instance = this->draw_runner();
     if (!instance)
         return;
-    this->note(instance->id + " goes off the list and serves on for a while");
+    this->log_fault(instance->id + " goes off the list and serves on for a while");
     this->deployment.add_runner(instance->service, instance->domain);
     this->deployment.remove_row(*instance);
     this->end_leaving(*instance, Deployment::drain_time);
@@ -428,7 +428,7 @@
     auto* instance = this->draw_runner();
     if (!instance)
         return;
-    this->note(instance->id + " spoils answers");
+    this->log_fault(instance->id + " spoils answers");
     this->deployment.mark_all_affected(aftermath);
     instance->corrupts_responses = true;
     // The end is drawn anew each time: two to four in a row are likelier than one or six.
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -85,7 +85,7 @@
     [[nodiscard]] Duration draw_duration(Duration shortest, Duration longest);
     [[nodiscard]] Duration draw_fault_time();
     [[nodiscard]] FaultProxy::Direction draw_direction();
-    void note(std::string const& what) const;
+    void log_fault(std::string const& what) const;
 
     Http::asio::io_context& loop;
     Deployment& deployment;
