--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -49,7 +49,7 @@
         &FaultSchedule::reload_host,
         &FaultSchedule::change_configuration,
         &FaultSchedule::drain_runner,
-        &FaultSchedule::vanish_runner,
+        &FaultSchedule::unlist_runner,
     };
     auto add = [&kinds](std::initializer_list<Begin> more) { kinds.insert(kinds.end(), more); };
     // Five times, so that spoiled answers are as likely as all planned work.
@@ -410,7 +410,7 @@
     this->end_leaving(*instance, time_left);
 }
 
-void FaultSchedule::vanish_runner()
+void FaultSchedule::unlist_runner()
 {
     auto* instance = this->draw_runner();
     if (!instance)
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -67,7 +67,7 @@
     // Of backend servers.
     void crash_runner();
     void drain_runner();
-    void vanish_runner();
+    void unlist_runner();
     void corrupt_responses();
 
     void begin_platform_mode(StandIn::PlatformStore::Mode, std::string const& what);
