--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -60,7 +60,7 @@
     if (mix == Mix::Everything)
         add({ &FaultSchedule::kill_host, &FaultSchedule::kill_all_after_change, &FaultSchedule::freeze_host,
             &FaultSchedule::platform_busy, &FaultSchedule::platform_silent, &FaultSchedule::platform_forgets,
-            &FaultSchedule::platform_behind, &FaultSchedule::entries_lapse, &FaultSchedule::block_platform_link,
+            &FaultSchedule::platform_behind, &FaultSchedule::expire_entries, &FaultSchedule::block_platform_link,
             &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::block_peer_link,
             &FaultSchedule::delay_peer_link, &FaultSchedule::isolate_domain, &FaultSchedule::impair_runner_link,
             &FaultSchedule::reset_runner_link, &FaultSchedule::crash_runner, &FaultSchedule::corrupt_responses });
@@ -246,7 +246,7 @@
     this->after(duration, [this] { this->deployment.store.set_behind(0); });
 }
 
-void FaultSchedule::entries_lapse()
+void FaultSchedule::expire_entries()
 {
     auto serving = this->deployment.serving(engine_service);
     if (serving.empty())
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -53,7 +53,7 @@
     void platform_silent();
     void platform_forgets();
     void platform_behind();
-    void entries_lapse();
+    void expire_entries();
     void change_configuration();
     // Of links.
     void block_platform_link();
