--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -59,7 +59,7 @@
             &FaultSchedule::reset_runner_link });
     if (mix == Mix::Everything)
         add({ &FaultSchedule::kill_host, &FaultSchedule::kill_all_after_change, &FaultSchedule::freeze_host,
-            &FaultSchedule::platform_busy, &FaultSchedule::platform_silent, &FaultSchedule::platform_forgets,
+            &FaultSchedule::platform_busy, &FaultSchedule::platform_silent, &FaultSchedule::platform_loses_history,
             &FaultSchedule::platform_behind, &FaultSchedule::expire_entries, &FaultSchedule::block_platform_link,
             &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::block_peer_link,
             &FaultSchedule::delay_peer_link, &FaultSchedule::isolate_domain, &FaultSchedule::impair_runner_link,
@@ -230,7 +230,7 @@
     this->begin_platform_mode(StandIn::PlatformStore::Mode::Silent, "the platform is silent");
 }
 
-void FaultSchedule::platform_forgets()
+void FaultSchedule::platform_loses_history()
 {
     this->log_fault("the platform forgets its history");
     this->deployment.mark_all_affected(aftermath);
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -51,7 +51,7 @@
     // Of the platform.
     void platform_busy();
     void platform_silent();
-    void platform_forgets();
+    void platform_loses_history();
     void platform_behind();
     void expire_entries();
     void change_configuration();
