--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -60,7 +60,7 @@
     if (mix == Mix::Everything)
         add({ &FaultSchedule::kill_host, &FaultSchedule::kill_all_after_change, &FaultSchedule::freeze_host,
             &FaultSchedule::platform_busy, &FaultSchedule::platform_silent, &FaultSchedule::platform_loses_history,
-            &FaultSchedule::platform_behind, &FaultSchedule::expire_entries, &FaultSchedule::block_platform_link,
+            &FaultSchedule::platform_stale, &FaultSchedule::expire_entries, &FaultSchedule::block_platform_link,
             &FaultSchedule::delay_platform_link, &FaultSchedule::reset_platform_link, &FaultSchedule::block_peer_link,
             &FaultSchedule::delay_peer_link, &FaultSchedule::isolate_domain, &FaultSchedule::impair_runner_link,
             &FaultSchedule::reset_runner_link, &FaultSchedule::crash_runner, &FaultSchedule::corrupt_responses });
@@ -237,7 +237,7 @@
     this->deployment.store.forget_history();
 }
 
-void FaultSchedule::platform_behind()
+void FaultSchedule::platform_stale()
 {
     auto duration = this->draw_fault_time();
     this->log_fault("the platform answers with an older state");
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -52,7 +52,7 @@
     void platform_busy();
     void platform_silent();
     void platform_loses_history();
-    void platform_behind();
+    void platform_stale();
     void expire_entries();
     void change_configuration();
     // Of links.
