--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -53,7 +53,7 @@
     this->stall_hosts();
     this->corrupt_entries();
     this->advertise_limits();
-    this->ask_for_back_off();
+    this->request_back_off();
 }
 
 void BackgroundFaults::end()
@@ -126,7 +126,7 @@
     this->after(shortest_stall_pause, [this] { this->advertise_limits(); });
 }
 
-void BackgroundFaults::ask_for_back_off()
+void BackgroundFaults::request_back_off()
 {
     auto const* service = draw_below(this->back_off_random, 2) == 0 ? plain_service : engine_service;
     auto asking = this->deployment.serving(service);
@@ -140,7 +140,7 @@
             [instance] { Deployment::accept_again(*instance); });
     }
     this->after(draw_between(this->back_off_random, shortest_stall_pause, longest_stall_pause),
-        [this] { this->ask_for_back_off(); });
+        [this] { this->request_back_off(); });
 }
 
 }
--- a/Tests/Soak/BackgroundFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -36,7 +36,7 @@
     void restore_entry();
     /// Backend servers turn all away for a moment and ask for back-off, all the time: one or all of a
     /// service, so that such times overlap.
-    void ask_for_back_off();
+    void request_back_off();
     /// One plain server at a time names a limit, all the time; others serve what it does not take.
     void advertise_limits();
     /// Does nothing once end() has been called.
