--- a/Tests/Soak/Configuration.cpp
+++ b/Tests/Soak/Configuration.cpp
@@ -41,7 +41,7 @@
 {
     return { { "name", name }, { "host", caller_host }, { "path_prefix", prefix }, { "kind", kind_text(route.kind) },
         { "timeout_ms", AK::to_milliseconds(route.timeout) }, { "goal_ms", 300 }, { "priority", 1 },
-        { "service", route.service }, { "max_attempts", route.most_dispatches }, { "public", false } };
+        { "service", route.service }, { "max_attempts", route.max_dispatches }, { "public", false } };
 }
 
 u64 Configuration::add_version() { return ++this->current; }
--- a/Tests/Soak/Configuration.h
+++ b/Tests/Soak/Configuration.h
@@ -28,7 +28,7 @@
     std::string service;
     Duration timeout { 0 };
     /// Tries in all, the first one counted.
-    u32 most_dispatches { 1 };
+    u32 max_dispatches { 1 };
 };
 
 RouteSettings const& route_of(CallKind);
