--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -32,7 +32,7 @@
     return signal;
 }
 
-void ChangeSignal::tell()
+void ChangeSignal::notify()
 {
     {
         std::lock_guard lock(this->mutex);
@@ -99,7 +99,7 @@
         options.name = "engine-" + std::to_string(i);
         options.parameters.capacity_tokens = size.engine_capacity;
         options.time_scale = 0.25;
-        options.on_change = [] { ChangeSignal::instance().tell(); };
+        options.on_change = [] { ChangeSignal::instance().notify(); };
         this->engines.push_back(std::make_unique<StandIns::FakeEngine>(any_port, options));
     }
     for (size_t i = 0; i < size.services; ++i)
--- a/Tests/Support/TestFleet.h
+++ b/Tests/Support/TestFleet.h
@@ -26,7 +26,7 @@
 class ChangeSignal {
 public:
     static ChangeSignal& instance();
-    void tell();
+    void notify();
     [[nodiscard]] u64 count();
     /// Waits until count() differs from `seen`. Says whether it did before `give_up_at`.
     bool wait_beyond(u64 seen, Instant give_up_at);
@@ -45,7 +45,7 @@
         , node(std::make_unique<Node::Node>(this->settings.node))
         , part(make(*this->node, this->settings))
     {
-        auto tell = [] { ChangeSignal::instance().tell(); };
+        auto tell = [] { ChangeSignal::instance().notify(); };
         this->node->events().on_record(tell);
         this->node->on_members(tell);
         this->node->on_revision(tell);
