--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -47,7 +47,7 @@
     return this->changes;
 }
 
-bool ChangeSignal::wait_beyond(u64 seen, Instant give_up_at)
+bool ChangeSignal::wait_for_change(u64 seen, Instant give_up_at)
 {
     std::unique_lock lock(this->mutex);
     return this->changed.wait_until(lock, give_up_at, [&] { return this->changes != seen; });
@@ -63,7 +63,7 @@
         if (condition())
             return;
         INFO("waiting for " << what);
-        REQUIRE(signal.wait_beyond(seen, give_up_at));
+        REQUIRE(signal.wait_for_change(seen, give_up_at));
     }
 }
 
--- a/Tests/Support/TestFleet.h
+++ b/Tests/Support/TestFleet.h
@@ -29,7 +29,7 @@
     void notify();
     [[nodiscard]] u64 count();
     /// Waits until count() differs from `seen`. Says whether it did before `give_up_at`.
-    bool wait_beyond(u64 seen, Instant give_up_at);
+    bool wait_for_change(u64 seen, Instant give_up_at);
 
 private:
     std::mutex mutex;
