--- a/Tests/Promises/TestConfigurationSpread.cpp
+++ b/Tests/Promises/TestConfigurationSpread.cpp
@@ -110,7 +110,7 @@
 {
     TestFleet fleet({ .gateways = 1, .routers = 1 });
     fleet.platform->set_fault(0, PlatformFault::Cut);
-    auto cut_off = fleet.start_router_elsewhere();
+    auto cut_off = fleet.start_remote_router();
     wait_until("the configuration",
         [&] { return cut_off->on_loop([&] { return cut_off->node->configuration().revision() == Revision(8); }); });
     CHECK(cut_off->node->is_ready());
--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -184,7 +184,7 @@
         "router-" + std::to_string(number), first_router_port + static_cast<int>(number), wire::ROLE_ROUTER));
 }
 
-std::unique_ptr<TestRouter> TestFleet::start_router_elsewhere() const
+std::unique_ptr<TestRouter> TestFleet::start_remote_router() const
 {
     auto settings = this->node_settings("router-elsewhere", elsewhere_port, wire::ROLE_ROUTER);
     settings.failure_domain = FailureDomainId("hall-b");
--- a/Tests/Support/TestFleet.h
+++ b/Tests/Support/TestFleet.h
@@ -106,7 +106,7 @@
     void start_gateway(size_t number, bool is_secure = false);
     void start_router(size_t number);
     /// A router of another failure domain, which knows the first router of this one.
-    std::unique_ptr<TestRouter> start_router_elsewhere() const;
+    std::unique_ptr<TestRouter> start_remote_router() const;
     void start_operator(bool is_secure = false);
     [[nodiscard]] Address operator_address() const;
     /// As a host that vanishes: the process is gone without a word.
