--- a/Tests/Promises/TestLeaving.cpp
+++ b/Tests/Promises/TestLeaving.cpp
@@ -74,7 +74,7 @@
     auto leaver = fleet.owner();
     auto results = fleet.generate(8, 60, [&] {
         auto& router = *fleet.routers[leaver];
-        wait_until("a queue", [&] { return router.on_loop([&] { return router.part->queued_count() > 2; }); });
+        wait_until("a queue", [&] { return router.on_loop([&] { return router.component->queued_count() > 2; }); });
         router.on_loop([&] {
             router.node->begin_leaving();
             return true;
--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -234,7 +234,7 @@
 
 Address TestFleet::operator_address() const
 {
-    return Address("127.0.0.1:" + std::to_string(this->operator_server->part->port()));
+    return Address("127.0.0.1:" + std::to_string(this->operator_server->component->port()));
 }
 
 size_t TestFleet::owner()
