--- a/Tests/Support/TestFleet.h
+++ b/Tests/Support/TestFleet.h
@@ -71,7 +71,7 @@
 
     Settings settings;
     std::unique_ptr<Node::Node> node;
-    std::unique_ptr<Part> part;
+    std::unique_ptr<Part> component;
     std::thread thread;
 };
 
