--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -80,7 +80,7 @@
         [](Node::Node& node, Gateway::GatewaySettings const& own) {
             return std::make_unique<Gateway::GatewayLoop>(node, own);
         })
-    , frontend(*this->daemon.part, this->daemon.settings)
+    , frontend(*this->daemon.component, this->daemon.settings)
 {
 }
 
