--- a/Tests/Fleet/LossyNetwork.h
+++ b/Tests/Fleet/LossyNetwork.h
@@ -24,7 +24,7 @@
     public:
         /// Calls `take` with each message that has come by now.
         template<typename Take>
-        void hear(Instant now, Take take)
+        void deliver(Instant now, Take take)
         {
             for (auto const& word : this->words) {
                 if (word.comes_at <= now)
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -35,7 +35,7 @@
     {
         auto const end = this->now + span;
         for (; this->now < end; this->now += step) {
-            this->hear();
+            this->deliver();
             this->broadcast_full_state();
             this->see_ends();
             if (this->now >= this->next_try) {
@@ -94,10 +94,10 @@
         return *std::next(this->hosts.begin(), static_cast<std::ptrdiff_t>(number(this->random)));
     }
 
-    void hear()
+    void deliver()
     {
         for (auto& host : this->hosts)
-            host.inbox.hear(
+            host.inbox.deliver(
                 this->now, [&](wire::HostUse const& message) { apply_request_terminations(*host.context, message); });
     }
 
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -81,7 +81,7 @@
     {
         auto const end = this->now + span;
         for (; this->now < end; this->now += step) {
-            this->hear();
+            this->deliver();
             this->broadcast_full_state();
             this->take_answers();
             auto const expected = this->shape.calls_per_second * AK::to_seconds(step);
@@ -189,10 +189,10 @@
             this->talk.tell(this->hosts, from, message, this->now);
     }
 
-    void hear()
+    void deliver()
     {
         for (auto& host : this->hosts)
-            host.inbox.hear(
+            host.inbox.deliver(
                 this->now, [&](wire::HostUse const& message) { apply_rate_limits(*host.context, message); });
     }
 
