--- a/Tests/Fleet/LossyNetwork.h
+++ b/Tests/Fleet/LossyNetwork.h
@@ -51,7 +51,7 @@
 
     /// From one of the hosts to all others, each of which has an `inbox`.
     template<typename Hosts, typename Host>
-    void tell(Hosts& hosts, Host const& from, wire::HostUse const& message, Instant now)
+    void broadcast(Hosts& hosts, Host const& from, wire::HostUse const& message, Instant now)
     {
         auto const shared = std::make_shared<wire::HostUse const>(message);
         std::uniform_int_distribution<i64> delay(1, longest_delay_milliseconds);
--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -83,7 +83,7 @@
         host.context->quarantine_changed = [this, &host](RequestFingerprint const& request) {
             wire::HostUse message;
             put_request_termination(message, *host.context, request);
-            this->talk.tell(this->hosts, host, message, this->now);
+            this->talk.broadcast(this->hosts, host, message, this->now);
         };
         std::erase_if(this->ends, [&](End const& end) { return end.host == &host; });
     }
@@ -110,7 +110,7 @@
             wire::HostUse message;
             put_recent_request_terminations(message, *host.context, host.round++);
             if (message.ending_size() > 0)
-                this->talk.tell(this->hosts, host, message, this->now);
+                this->talk.broadcast(this->hosts, host, message, this->now);
         }
     }
 
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -186,7 +186,7 @@
     void tell(Machine const& from, wire::HostUse const& message)
     {
         if (!this->is_cut)
-            this->talk.tell(this->hosts, from, message, this->now);
+            this->talk.broadcast(this->hosts, from, message, this->now);
     }
 
     void deliver()
