--- a/Tests/Fleet/TestEndingRequests.cpp
+++ b/Tests/Fleet/TestEndingRequests.cpp
@@ -24,7 +24,7 @@
 class EndingFleet {
 public:
     EndingFleet(u32 host_count, double lost_share)
-        : talk(lost_share, host_count)
+        : network(lost_share, host_count)
         , random(host_count)
     {
         for (u32 i = 0; i < host_count; ++i)
@@ -83,7 +83,7 @@
         host.context->quarantine_changed = [this, &host](RequestFingerprint const& request) {
             wire::HostUse message;
             put_request_termination(message, *host.context, request);
-            this->talk.broadcast(this->hosts, host, message, this->now);
+            this->network.broadcast(this->hosts, host, message, this->now);
         };
         std::erase_if(this->ends, [&](End const& end) { return end.host == &host; });
     }
@@ -110,7 +110,7 @@
             wire::HostUse message;
             put_recent_request_terminations(message, *host.context, host.round++);
             if (message.ending_size() > 0)
-                this->talk.broadcast(this->hosts, host, message, this->now);
+                this->network.broadcast(this->hosts, host, message, this->now);
         }
     }
 
@@ -141,7 +141,7 @@
     Http::asio::io_context loop;
     HostSettings settings;
     Core::StructuredLog log { [](std::string_view text) { return text.size(); } };
-    Test::LossyNetwork talk;
+    Test::LossyNetwork network;
     std::mt19937 random;
     std::list<Machine> hosts;
     std::vector<End> ends;
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -38,7 +38,7 @@
 
     explicit LimitedFleet(Shape shape)
         : shape(shape)
-        , talk(shape.lost_share, shape.seed)
+        , network(shape.lost_share, shape.seed)
         , random(shape.seed)
     {
         for (u32 i = 0; i < shape.servers; ++i)
@@ -186,7 +186,7 @@
     void tell(Machine const& from, wire::HostUse const& message)
     {
         if (!this->is_cut)
-            this->talk.broadcast(this->hosts, from, message, this->now);
+            this->network.broadcast(this->hosts, from, message, this->now);
     }
 
     void deliver()
@@ -258,7 +258,7 @@
     Shape shape;
     Http::asio::io_context loop;
     Core::StructuredLog log { [](std::string_view text) { return text.size(); } };
-    Test::LossyNetwork talk;
+    Test::LossyNetwork network;
     std::mt19937 random;
     std::vector<Server> servers;
     std::list<Machine> hosts;
