--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -59,7 +59,10 @@
     }
 
     /// Nothing passes between this domain and the others.
-    void cut_domain(u32 number) { this->cut = FailureDomainId("hall-" + std::to_string(number % this->shape.domains)); }
+    void partition_domain(u32 number)
+    {
+        this->cut = FailureDomainId("hall-" + std::to_string(number % this->shape.domains));
+    }
     /// Nothing passes between any hosts, nor to the platform.
     void cut_all() { this->all_are_cut = true; }
     void heal()
--- a/Tests/Fleet/TestRepeats.cpp
+++ b/Tests/Fleet/TestRepeats.cpp
@@ -64,7 +64,7 @@
         }
         WHEN("a domain is cut off, and hosts of all domains start anew meanwhile")
         {
-            fleet.cut_domain(1);
+            fleet.partition_domain(1);
             fleet.run(5s);
             fleet.restart(0.5);
             fleet.set_failing(0.9);
@@ -147,7 +147,7 @@
             else if (what < 8)
                 fleet.restart(what == 6 ? 1 : 0.3);
             else if (what == 8)
-                fleet.cut_domain(shape.seed);
+                fleet.partition_domain(shape.seed);
             else if (what == 9)
                 fleet.heal();
             else if (what < 12)
