--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -64,7 +64,7 @@
         this->cut = FailureDomainId("hall-" + std::to_string(number % this->shape.domains));
     }
     /// Nothing passes between any hosts, nor to the platform.
-    void cut_all() { this->all_are_cut = true; }
+    void isolate_all() { this->all_are_cut = true; }
     void heal()
     {
         this->cut.reset();
--- a/Tests/Fleet/TestRepeats.cpp
+++ b/Tests/Fleet/TestRepeats.cpp
@@ -81,7 +81,7 @@
         }
         WHEN("hosts start anew, and hear neither each other nor the platform")
         {
-            fleet.cut_all();
+            fleet.isolate_all();
             fleet.restart(1);
             fleet.set_failing(0.9);
             fleet.run(25s);
