--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -71,7 +71,7 @@
         this->all_are_cut = false;
     }
     /// Hosts that start while the platform is away know nobody but those that tell them something.
-    void set_platform_is_away(bool is_away) { this->platform_is_away = is_away; }
+    void set_platform_unavailable(bool is_away) { this->platform_is_away = is_away; }
     /// How many times as many requests come as usual.
     void set_load(double factor) { this->load = factor; }
     /// Which share of dispatches fails.
--- a/Tests/Fleet/TestRepeats.cpp
+++ b/Tests/Fleet/TestRepeats.cpp
@@ -73,7 +73,7 @@
         }
         WHEN("hosts start anew while the platform is away")
         {
-            fleet.set_platform_is_away(true);
+            fleet.set_platform_unavailable(true);
             fleet.restart(0.7);
             fleet.set_failing(0.9);
             fleet.run(25s);
@@ -151,7 +151,7 @@
             else if (what == 9)
                 fleet.heal();
             else if (what < 12)
-                fleet.set_platform_is_away(what == 10);
+                fleet.set_platform_unavailable(what == 10);
             else
                 fleet.add_host();
             fleet.run(1500ms);
