--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -75,7 +75,7 @@
     /// How many times as many requests come as usual.
     void set_load(double factor) { this->load = factor; }
     /// Which share of dispatches fails.
-    void set_failing(double share) { this->failing = share; }
+    void set_failure_rate(double share) { this->failing = share; }
 
     void run(Duration span)
     {
--- a/Tests/Fleet/TestRepeats.cpp
+++ b/Tests/Fleet/TestRepeats.cpp
@@ -32,14 +32,14 @@
         fleet.run(30s);
         WHEN("most dispatches fail")
         {
-            fleet.set_failing(0.9);
+            fleet.set_failure_rate(0.9);
             fleet.run(25s);
             check_bound(fleet);
             THEN("much of what is allowed is used") { CHECK(fleet.worst_window().repeats > 200); }
         }
         WHEN("most dispatches fail, and all hosts are killed meanwhile")
         {
-            fleet.set_failing(0.9);
+            fleet.set_failure_rate(0.9);
             fleet.run(5s);
             fleet.restart(1);
             fleet.run(15s);
@@ -47,7 +47,7 @@
         }
         WHEN("some hosts after another are killed while dispatches fail")
         {
-            fleet.set_failing(0.9);
+            fleet.set_failure_rate(0.9);
             for (int i = 0; i < 12; ++i) {
                 fleet.restart(0.3);
                 fleet.run(1s);
@@ -56,7 +56,7 @@
         }
         WHEN("hosts are added while dispatches fail")
         {
-            fleet.set_failing(0.9);
+            fleet.set_failure_rate(0.9);
             for (int i = 0; i < 33; ++i)
                 fleet.add_host();
             fleet.run(25s);
@@ -67,7 +67,7 @@
             fleet.partition_domain(1);
             fleet.run(5s);
             fleet.restart(0.5);
-            fleet.set_failing(0.9);
+            fleet.set_failure_rate(0.9);
             fleet.run(30s);
             check_bound(fleet);
         }
@@ -75,7 +75,7 @@
         {
             fleet.set_platform_unavailable(true);
             fleet.restart(0.7);
-            fleet.set_failing(0.9);
+            fleet.set_failure_rate(0.9);
             fleet.run(25s);
             check_bound(fleet);
         }
@@ -83,13 +83,13 @@
         {
             fleet.isolate_all();
             fleet.restart(1);
-            fleet.set_failing(0.9);
+            fleet.set_failure_rate(0.9);
             fleet.run(25s);
             check_bound(fleet);
         }
         WHEN("the load falls while dispatches fail")
         {
-            fleet.set_failing(0.9);
+            fleet.set_failure_rate(0.9);
             fleet.set_load(3);
             fleet.run(8s);
             fleet.set_load(0.1);
@@ -99,7 +99,7 @@
     }
     GIVEN("hosts that have all just started")
     {
-        fleet.set_failing(0.9);
+        fleet.set_failure_rate(0.9);
         fleet.run(25s);
         check_bound(fleet);
     }
@@ -111,7 +111,7 @@
     shape.hosts = 8;
     ModelFleet fleet(shape);
     fleet.run(30s);
-    fleet.set_failing(0.9);
+    fleet.set_failure_rate(0.9);
     fleet.run(3s);
     WHEN("all of them are killed once they have spent it")
     {
@@ -143,7 +143,7 @@
             if (what < 3)
                 fleet.set_load(loads[what]);
             else if (what < 6)
-                fleet.set_failing(failures[what - 3]);
+                fleet.set_failure_rate(failures[what - 3]);
             else if (what < 8)
                 fleet.restart(what == 6 ? 1 : 0.3);
             else if (what == 8)
