--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -96,7 +96,7 @@
         return Account::worst_window(this->requests, this->repeats, bound).value_or(Account::RepeatWindow {});
     }
     [[nodiscard]] size_t repeat_count() const { return this->repeats.size(); }
-    [[nodiscard]] size_t wanted_count() const { return this->wanted; }
+    [[nodiscard]] size_t wanted_repeat_count() const { return this->wanted; }
 
 private:
     static constexpr Duration step = 20ms;
