--- a/Tests/Hosts/HostGroup.h
+++ b/Tests/Hosts/HostGroup.h
@@ -57,7 +57,7 @@
         return sent;
     }
 
-    void pass(Duration span)
+    void run_for(Duration span)
     {
         this->platform.loop.restart();
         this->platform.loop.run_for(span);
@@ -116,7 +116,7 @@
         for (auto& member : this->members)
             this->platform.until([&] { return this->is_ready(*member); });
         // Until hosts of all domains have heard those that speak for the others.
-        this->pass(1200ms);
+        this->run_for(1200ms);
     }
 
     std::vector<std::unique_ptr<Member>> members;
--- a/Tests/Hosts/LoadedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -45,7 +45,7 @@
         while (AK::BootClock::now() < end) {
             for (size_t host = 0; host < this->hosts.size(); ++host)
                 this->send(host);
-            this->hosts.pass(50ms);
+            this->hosts.run_for(50ms);
         }
     }
     void send(size_t host)
--- a/Tests/Hosts/TestRequestsThatEndServers.cpp
+++ b/Tests/Hosts/TestRequestsThatEndServers.cpp
@@ -48,7 +48,7 @@
     {
         while (this->ended() < enough_ended)
             this->come_again();
-        this->hosts.pass(contact_time);
+        this->hosts.run_for(contact_time);
     }
 
     [[nodiscard]] u32 ended() const
--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -131,7 +131,7 @@
     auto run_on = [&](Duration span) {
         auto const end = AK::BootClock::now() + span;
         while (AK::BootClock::now() < end) {
-            servers.hosts.pass(20ms);
+            servers.hosts.run_for(20ms);
             for (auto* runner : servers.runners)
                 runner->make_events();
         }
--- a/Tests/Hosts/TestServersThatSayTheyLeave.cpp
+++ b/Tests/Hosts/TestServersThatSayTheyLeave.cpp
@@ -124,7 +124,7 @@
     auto run_on = [&](Duration span) {
         auto const end = AK::BootClock::now() + span;
         while (AK::BootClock::now() < end) {
-            servers.hosts.pass(50ms);
+            servers.hosts.run_for(50ms);
             for (auto* runner : servers.runners)
                 runner->make_events();
         }
