--- a/Tests/Hosts/LoadedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -39,7 +39,7 @@
     }
 
     /// Each host gets 20 requests a second.
-    void press(Duration span)
+    void apply_load(Duration span)
     {
         auto const end = AK::BootClock::now() + span;
         while (AK::BootClock::now() < end) {
--- a/Tests/Hosts/TestNamedLimits.cpp
+++ b/Tests/Hosts/TestNamedLimits.cpp
@@ -24,13 +24,13 @@
 SCENARIO("all hosts together send a server no more than the limit that it names")
 {
     LoadedServers servers(3, "lanes", "/lookup/7");
-    servers.press(1s);
+    servers.apply_load(1s);
     GIVEN("two servers of three that name a limit")
     {
         servers.runners[0]->set_limit("2.8");
         servers.runners[1]->set_limit("3.9");
         auto const named_at = AK::BootClock::now();
-        servers.press(contact_time + window + 1s);
+        servers.apply_load(contact_time + window + 1s);
         THEN("they get no more from then on")
         {
             CHECK(static_cast<double>(servers.most_in_window(0, named_at + contact_time, window))
@@ -43,12 +43,12 @@
             servers.runners[0]->set_limit({});
             auto const ended_at = AK::BootClock::now();
             servers.forget_calls();
-            servers.press(contact_time);
+            servers.apply_load(contact_time);
             THEN("it gets work as the others do, and all callers are answered")
             {
                 CHECK(servers.arrivals_since(0, ended_at) > servers.asked() / 6);
                 servers.forget_calls();
-                servers.press(1s);
+                servers.apply_load(1s);
                 servers.await_answers();
                 CHECK(servers.answered(200) == servers.asked());
             }
@@ -59,9 +59,9 @@
         for (auto* runner : servers.runners)
             runner->set_limit("5");
         auto const named_at = AK::BootClock::now();
-        servers.press(contact_time);
+        servers.apply_load(contact_time);
         servers.forget_calls();
-        servers.press(window);
+        servers.apply_load(window);
         servers.await_answers();
         THEN("they get no more, and some of it all the time; who is left over is refused at once")
         {
--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -64,16 +64,16 @@
 SCENARIO("a host sends a server nothing in the time for which that asked it for back-off")
 {
     RestingServers servers(3, "lanes", "/lookup/7");
-    servers.press(500ms);
+    servers.apply_load(500ms);
     GIVEN("a server that turns all away, and takes all again before its time is over")
     {
         for (auto* runner : servers.runners)
             runner->set_work_time(300ms);
-        servers.press(500ms);
+        servers.apply_load(500ms);
         servers.turn_away(0, 3s);
-        servers.press(250ms);
+        servers.apply_load(250ms);
         servers.take_all_again(0);
-        servers.press(2500ms);
+        servers.apply_load(2500ms);
         THEN("what ends well there meanwhile takes nothing from it")
         {
             REQUIRE(servers.times_asked() > 0);
@@ -83,20 +83,20 @@
         {
             REQUIRE(servers.times_asked() > 0);
             auto const over_at = servers.asked_last_at() + 3s;
-            servers.press(over_at - AK::BootClock::now() + 1s);
+            servers.apply_load(over_at - AK::BootClock::now() + 1s);
             CHECK(servers.arrivals_since(0, over_at) > 0);
         }
     }
     GIVEN("a server whose entry lapses and comes back meanwhile")
     {
         servers.turn_away(0, 3s);
-        servers.press(300ms);
+        servers.apply_load(300ms);
         servers.take_all_again(0);
         auto const id = servers.runners[0]->id();
         servers.hosts.platform.store.remove("servers", id);
-        servers.press(500ms);
+        servers.apply_load(500ms);
         servers.hosts.platform.store.put("servers", id, servers.runners[0]->row("lanes", LoadedServers::domain_of(0)));
-        servers.press(2s);
+        servers.apply_load(2s);
         THEN("it is the same server, and its word holds")
         {
             REQUIRE(servers.times_asked() > 0);
@@ -107,10 +107,10 @@
     {
         for (size_t i = 0; i < servers.runners.size(); ++i)
             servers.turn_away(i, 2s);
-        servers.press(500ms);
+        servers.apply_load(500ms);
         servers.await_answers();
         servers.forget_calls();
-        servers.press(1s);
+        servers.apply_load(1s);
         servers.await_answers();
         THEN("none of them is sent anything, and who asks is refused at once, with a time at which one may take it")
         {
@@ -204,19 +204,19 @@
     RestingServers servers(3, "models", "/drafts/2");
     for (auto* runner : servers.runners)
         runner->planned_events = [](std::string const&) { return 2; };
-    auto press = [&](Duration span) {
+    auto apply_load = [&](Duration span) {
         auto const end = AK::BootClock::now() + span;
         while (AK::BootClock::now() < end) {
-            servers.press(50ms);
+            servers.apply_load(50ms);
             for (auto* runner : servers.runners)
                 runner->make_events();
         }
     };
-    press(500ms);
+    apply_load(500ms);
     servers.turn_away(0, 3s);
-    press(300ms);
+    apply_load(300ms);
     servers.take_all_again(0);
-    press(2500ms);
+    apply_load(2500ms);
     REQUIRE(servers.times_asked() > 0);
     CHECK(servers.most_from_one_host() <= allowed_from_one_host);
 }
--- a/Tests/Hosts/TestServersThatSayTheyLeave.cpp
+++ b/Tests/Hosts/TestServersThatSayTheyLeave.cpp
@@ -49,11 +49,11 @@
 SCENARIO("a host sends no new work to a server that has said in an answer that it leaves")
 {
     LeavingServers servers(3, "lanes", "/lookup/7");
-    servers.press(500ms);
+    servers.apply_load(500ms);
     GIVEN("a server that says so in answers to calls")
     {
         servers.say_it_leaves(0);
-        servers.press(2s);
+        servers.apply_load(2s);
         THEN("it gets none from the drain time on, and all callers are served by the others")
         {
             REQUIRE(servers.was_said(0));
@@ -68,9 +68,9 @@
     {
         servers.say_it_leaves(0);
         servers.runners[0]->turn_away("0.1");
-        servers.press(300ms);
+        servers.apply_load(300ms);
         servers.runners[0]->turn_away({});
-        servers.press(1500ms);
+        servers.apply_load(1500ms);
         THEN("it gets none either")
         {
             REQUIRE(servers.was_said(0));
@@ -81,7 +81,7 @@
     {
         servers.hosts.platform.store.set_mode(PlatformStore::Mode::Silent);
         servers.say_it_leaves(0);
-        servers.press(2s);
+        servers.apply_load(2s);
         THEN("it gets none either")
         {
             REQUIRE(servers.was_said(0));
@@ -91,12 +91,12 @@
     GIVEN("one whose entry lapses and comes back as serving")
     {
         servers.say_it_leaves(0);
-        servers.press(300ms);
+        servers.apply_load(300ms);
         auto const id = servers.runners[0]->id();
         servers.hosts.platform.store.remove("servers", id);
-        servers.press(300ms);
+        servers.apply_load(300ms);
         servers.hosts.platform.store.put("servers", id, servers.runners[0]->row("lanes", LoadedServers::domain_of(0)));
-        servers.press(1500ms);
+        servers.apply_load(1500ms);
         THEN("it is the same process, and leaves")
         {
             REQUIRE(servers.was_said(0));
@@ -106,14 +106,14 @@
     GIVEN("another process under its id, started later")
     {
         servers.say_it_leaves(0);
-        servers.press(300ms);
+        servers.apply_load(300ms);
         servers.runners[0]->say_it_leaves(false);
         servers.runners[0]->set_start(1'790'000'500'000);
         servers.hosts.platform.store.put(
             "servers", servers.runners[0]->id(), servers.runners[0]->row("lanes", LoadedServers::domain_of(0)));
-        servers.press(300ms);
+        servers.apply_load(300ms);
         auto const listed_at = AK::BootClock::now();
-        servers.press(1s);
+        servers.apply_load(1s);
         THEN("that one serves") { CHECK(servers.arrivals_since(0, listed_at) > 0); }
     }
 }
