--- a/Tests/Hosts/LoadedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -84,7 +84,7 @@
     }
     [[nodiscard]] size_t asked() const { return this->calls.size(); }
     [[nodiscard]] std::vector<std::shared_ptr<Call>> const& all_calls() const { return this->calls; }
-    void forget_calls() { this->calls.clear(); }
+    void clear_calls() { this->calls.clear(); }
     void await_answers()
     {
         this->hosts.platform.until(
--- a/Tests/Hosts/TestNamedLimits.cpp
+++ b/Tests/Hosts/TestNamedLimits.cpp
@@ -42,12 +42,12 @@
         {
             servers.runners[0]->set_limit({});
             auto const ended_at = AK::BootClock::now();
-            servers.forget_calls();
+            servers.clear_calls();
             servers.apply_load(contact_time);
             THEN("it gets work as the others do, and all callers are answered")
             {
                 CHECK(servers.arrivals_since(0, ended_at) > servers.asked() / 6);
-                servers.forget_calls();
+                servers.clear_calls();
                 servers.apply_load(1s);
                 servers.await_answers();
                 CHECK(servers.answered(200) == servers.asked());
@@ -60,7 +60,7 @@
             runner->set_limit("5");
         auto const named_at = AK::BootClock::now();
         servers.apply_load(contact_time);
-        servers.forget_calls();
+        servers.clear_calls();
         servers.apply_load(window);
         servers.await_answers();
         THEN("they get no more, and some of it all the time; who is left over is refused at once")
--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -109,7 +109,7 @@
             servers.turn_away(i, 2s);
         servers.apply_load(500ms);
         servers.await_answers();
-        servers.forget_calls();
+        servers.clear_calls();
         servers.apply_load(1s);
         servers.await_answers();
         THEN("none of them is sent anything, and who asks is refused at once, with a time at which one may take it")
