--- a/Tests/Hosts/LoadedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -82,7 +82,7 @@
         return static_cast<size_t>(
             std::ranges::count_if(this->calls, [&](auto const& call) { return call->status == status; }));
     }
-    [[nodiscard]] size_t asked() const { return this->calls.size(); }
+    [[nodiscard]] size_t call_count() const { return this->calls.size(); }
     [[nodiscard]] std::vector<std::shared_ptr<Call>> const& all_calls() const { return this->calls; }
     void clear_calls() { this->calls.clear(); }
     void await_answers()
--- a/Tests/Hosts/TestNamedLimits.cpp
+++ b/Tests/Hosts/TestNamedLimits.cpp
@@ -46,11 +46,11 @@
             servers.apply_load(contact_time);
             THEN("it gets work as the others do, and all callers are answered")
             {
-                CHECK(servers.arrivals_since(0, ended_at) > servers.asked() / 6);
+                CHECK(servers.arrivals_since(0, ended_at) > servers.call_count() / 6);
                 servers.clear_calls();
                 servers.apply_load(1s);
                 servers.await_answers();
-                CHECK(servers.answered(200) == servers.asked());
+                CHECK(servers.answered(200) == servers.call_count());
             }
         }
     }
@@ -70,8 +70,8 @@
                     <= allowed_in_window(5));
                 CHECK(servers.arrivals_since(i, named_at + contact_time) >= 5);
             }
-            CHECK(servers.answered(503) > servers.asked() / 3);
-            CHECK(servers.answered(200) + servers.answered(503) == servers.asked());
+            CHECK(servers.answered(503) > servers.call_count() / 3);
+            CHECK(servers.answered(200) + servers.answered(503) == servers.call_count());
         }
     }
 }
