--- a/Tests/Hosts/LoadedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -77,7 +77,7 @@
         }
         return most;
     }
-    [[nodiscard]] size_t answered(unsigned status) const
+    [[nodiscard]] size_t count_with_status(unsigned status) const
     {
         return static_cast<size_t>(
             std::ranges::count_if(this->calls, [&](auto const& call) { return call->status == status; }));
--- a/Tests/Hosts/TestNamedLimits.cpp
+++ b/Tests/Hosts/TestNamedLimits.cpp
@@ -50,7 +50,7 @@
                 servers.clear_calls();
                 servers.apply_load(1s);
                 servers.await_answers();
-                CHECK(servers.answered(200) == servers.call_count());
+                CHECK(servers.count_with_status(200) == servers.call_count());
             }
         }
     }
@@ -70,8 +70,8 @@
                     <= allowed_in_window(5));
                 CHECK(servers.arrivals_since(i, named_at + contact_time) >= 5);
             }
-            CHECK(servers.answered(503) > servers.call_count() / 3);
-            CHECK(servers.answered(200) + servers.answered(503) == servers.call_count());
+            CHECK(servers.count_with_status(503) > servers.call_count() / 3);
+            CHECK(servers.count_with_status(200) + servers.count_with_status(503) == servers.call_count());
         }
     }
 }
--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -115,7 +115,7 @@
         THEN("none of them is sent anything, and who asks is refused at once, with a time at which one may take it")
         {
             CHECK(servers.most_from_one_host() <= allowed_from_one_host);
-            CHECK(servers.answered(503) == servers.call_count());
+            CHECK(servers.count_with_status(503) == servers.call_count());
             for (auto const& call : servers.all_calls())
                 CHECK(std::stod(call->headers["Retry-After"]) >= 0.2);
         }
