--- a/Tests/Hosts/LoadedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -85,7 +85,7 @@
     [[nodiscard]] size_t call_count() const { return this->calls.size(); }
     [[nodiscard]] std::vector<std::shared_ptr<Call>> const& all_calls() const { return this->calls; }
     void clear_calls() { this->calls.clear(); }
-    void await_answers()
+    void await_responses()
     {
         this->hosts.platform.until(
             [this] { return std::ranges::all_of(this->calls, [](auto const& call) { return call->is_over(); }); });
--- a/Tests/Hosts/TestNamedLimits.cpp
+++ b/Tests/Hosts/TestNamedLimits.cpp
@@ -49,7 +49,7 @@
                 CHECK(servers.arrivals_since(0, ended_at) > servers.call_count() / 6);
                 servers.clear_calls();
                 servers.apply_load(1s);
-                servers.await_answers();
+                servers.await_responses();
                 CHECK(servers.count_with_status(200) == servers.call_count());
             }
         }
@@ -62,7 +62,7 @@
         servers.apply_load(contact_time);
         servers.clear_calls();
         servers.apply_load(window);
-        servers.await_answers();
+        servers.await_responses();
         THEN("they get no more, and some of it all the time; who is left over is refused at once")
         {
             for (size_t i = 0; i < servers.runners.size(); ++i) {
--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -108,10 +108,10 @@
         for (size_t i = 0; i < servers.runners.size(); ++i)
             servers.turn_away(i, 2s);
         servers.apply_load(500ms);
-        servers.await_answers();
+        servers.await_responses();
         servers.clear_calls();
         servers.apply_load(1s);
-        servers.await_answers();
+        servers.await_responses();
         THEN("none of them is sent anything, and who asks is refused at once, with a time at which one may take it")
         {
             CHECK(servers.most_from_one_host() <= allowed_from_one_host);
--- a/Tests/Hosts/TestServersThatSayTheyLeave.cpp
+++ b/Tests/Hosts/TestServersThatSayTheyLeave.cpp
@@ -58,7 +58,7 @@
         {
             REQUIRE(servers.was_said(0));
             CHECK(servers.arrived_too_late(0) == 0);
-            servers.await_answers();
+            servers.await_responses();
             CHECK(servers.count_with_status(200) == servers.call_count());
             for (auto const& call : servers.all_calls())
                 CHECK(call->headers.count("Server-Leaving") == 0);
