--- a/Tests/Hosts/LoadedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -64,7 +64,7 @@
             std::ranges::count_if(this->arrivals[server], [&](auto const& arrival) { return arrival.moment >= from; }));
     }
     /// The most that a server got in any window that ended after `from`.
-    [[nodiscard]] size_t most_in_window(size_t server, Instant from, Duration window)
+    [[nodiscard]] size_t max_in_window(size_t server, Instant from, Duration window)
     {
         auto const& all = this->arrivals[server];
         size_t most = 0;
--- a/Tests/Hosts/TestNamedLimits.cpp
+++ b/Tests/Hosts/TestNamedLimits.cpp
@@ -33,9 +33,9 @@
         servers.apply_load(contact_time + window + 1s);
         THEN("they get no more from then on")
         {
-            CHECK(static_cast<double>(servers.most_in_window(0, named_at + contact_time, window))
+            CHECK(static_cast<double>(servers.max_in_window(0, named_at + contact_time, window))
                 <= allowed_in_window(2.8));
-            CHECK(static_cast<double>(servers.most_in_window(1, named_at + contact_time, window))
+            CHECK(static_cast<double>(servers.max_in_window(1, named_at + contact_time, window))
                 <= allowed_in_window(3.9));
         }
         AND_WHEN("one of them names none any more")
@@ -66,7 +66,7 @@
         THEN("they get no more, and some of it all the time; who is left over is refused at once")
         {
             for (size_t i = 0; i < servers.runners.size(); ++i) {
-                CHECK(static_cast<double>(servers.most_in_window(i, named_at + contact_time, window))
+                CHECK(static_cast<double>(servers.max_in_window(i, named_at + contact_time, window))
                     <= allowed_in_window(5));
                 CHECK(servers.arrivals_since(i, named_at + contact_time) >= 5);
             }
