--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -10,30 +10,30 @@
 
 namespace Soak {
 
-/// Between two requests of one caller.
-static constexpr Duration longest_rest = 150ms;
-/// Of rests, those about as long as the hosts' idle time-out, and how far off they are; chosen, so that some requests
-/// of each seed cross the close.
-static constexpr double idle_rest_share = 0.2;
-static constexpr Duration idle_rest_spread = 30ms;
-/// Shares, from 0 to 1; chosen so that engines, whose work goes through the most states, get the most.
+/// Bound on the usual interval between two requests of one caller.
+static constexpr Duration max_usual_interval = 150ms;
+/// Share of intervals that are about as long as the hosts' idle timeout, and their deviation from it. They let some
+/// requests of each seed cross the host's close of the connection.
+static constexpr double idle_interval_share = 0.2;
+static constexpr Duration idle_interval_spread = 30ms;
+/// Shares, from 0 to 1. Engines get the most requests, since their work passes through the most states.
 static constexpr double probe_share = 0.15;
-/// Of what is no probe; the rest are lookups.
+/// Shares of the requests other than probes; the rest are lookups.
 static constexpr double draft_share = 0.45;
 static constexpr double tariff_share = 0.15;
-/// Of probes; the others ask for any version.
+/// Share of probes for the newest version; the others probe any version.
 static constexpr double newest_probe_share = 0.5;
 static constexpr double new_connection_share = 0.2;
-/// Of requests that may be repeated, those without a body.
+/// Share of repeatable requests without a body.
 static constexpr double bodiless_share = 0.5;
-/// Of requests whose caller leaves early, and how soon.
-static constexpr double leaving_share = 0.05;
-static constexpr Duration longest_stay = 500ms;
-/// How much later than its time a request may have its answer, on a busy machine.
-static constexpr Duration answer_lateness = 6s;
-/// Before the end of its grace a host may break off what it has not ended.
-static constexpr Duration last_of_grace = Deployment::stop_grace / 6;
-/// How soon a change of the configuration is in force on a host that nothing has touched.
+/// Share of requests whose caller disconnects early, and the latest time at which it does.
+static constexpr double early_disconnect_share = 0.05;
+static constexpr Duration max_early_disconnect_delay = 500ms;
+/// How long after the route's timeout a response may arrive, on a busy machine.
+static constexpr Duration response_lateness = 6s;
+/// A host may interrupt unfinished requests this long before the end of its stop grace.
+static constexpr Duration grace_end_margin = Deployment::stop_grace / 6;
+/// Within this time a change of the configuration is in force on a host that no fault affects.
 static constexpr Duration configuration_lateness = 6s;
 
 Caller::Caller(Http::asio::io_context& loop, Deployment& deployment, PromiseChecker& checker, HostInstance& host,
@@ -53,9 +53,9 @@
 
 Duration Caller::draw_interval()
 {
-    if (this->draw() < idle_rest_share)
-        return idle_timeout + AK::from_seconds((2 * this->draw() - 1) * AK::to_seconds(idle_rest_spread));
-    return AK::from_seconds(this->draw() * AK::to_seconds(longest_rest));
+    if (this->draw() < idle_interval_share)
+        return idle_timeout + AK::from_seconds((2 * this->draw() - 1) * AK::to_seconds(idle_interval_spread));
+    return AK::from_seconds(this->draw() * AK::to_seconds(max_usual_interval));
 }
 
 void Caller::schedule_next_request()
@@ -110,23 +110,23 @@
     auto const sent = this->register_request(kind, attempt, route.prefix + attempt);
     auto request = make_request(attempt, sent);
     if (kind == CallKind::Draft) {
-        // Figures as in Tests/Platform/HostFixture.h; all are alike, so that prompts are shared.
+        // Values as in Tests/Platform/HostFixture.h. All requests use the same ones, so that prompts are shared.
         request.set("Lilactiller-Model", "m");
         request.set("Lilactiller-Token-Usage", "1460,80");
         request.set("Lilactiller-Prompt-Prefix", "5c1e07a2:800,e4402b7d:660");
     }
-    bool const leaves = this->draw() < leaving_share;
-    auto patience = leaves ? AK::from_seconds(this->draw() * AK::to_seconds(longest_stay))
-                           : Duration(route.timeout + answer_lateness);
+    bool const disconnects_early = this->draw() < early_disconnect_share;
+    auto timeout = disconnects_early ? AK::from_seconds(this->draw() * AK::to_seconds(max_early_disconnect_delay))
+                                     : Duration(route.timeout + response_lateness);
     auto self = this->shared_from_this();
     this->exchange(
         std::move(request),
-        [self, attempt, sent, leaves](ObservedResponse answer) {
-            if (!leaves)
-                self->check_promptness(attempt, sent, answer);
-            self->on_exchange_end(attempt, sent, std::move(answer));
+        [self, attempt, sent, disconnects_early](ObservedResponse response) {
+            if (!disconnects_early)
+                self->check_promptness(attempt, sent, response);
+            self->on_exchange_end(attempt, sent, std::move(response));
         },
-        patience);
+        timeout);
 }
 
 void Caller::send_probe()
@@ -140,23 +140,23 @@
     auto self = this->shared_from_this();
     this->exchange(
         make_request(attempt, sent),
-        [self, attempt, sent, version](ObservedResponse const& answer) {
-            self->check_probe(version, sent, answer);
-            self->record_result(attempt, sent, answer);
+        [self, attempt, sent, version](ObservedResponse const& response) {
+            self->check_probe(version, sent, response);
+            self->record_result(attempt, sent, response);
         },
-        route_of(sent.kind).timeout + answer_lateness);
+        route_of(sent.kind).timeout + response_lateness);
 }
 
-void Caller::check_probe(u64 version, SentRequest const& sent, ObservedResponse const& answer)
+void Caller::check_probe(u64 version, SentRequest const& sent, ObservedResponse const& response)
 {
-    // The process may have been replaced between the request and its answer.
+    // The process may have been replaced between the request and its response.
     if (sent.host_incarnation == this->host.daemon->incarnation())
-        this->checker.check_probe_response(sent, version, answer);
-    auto const taken_at = this->deployment.version_times.at(version);
-    bool const is_overdue = sent.sent_at - taken_at > configuration_lateness
-        && Deployment::is_unaffected_with_margin(this->host, taken_at);
-    if (is_overdue && answer.has(Http::Status::not_found))
-        this->checker.violation(this->host.name + " does not know version " + std::to_string(version) + " in time");
+        this->checker.check_probe_response(sent, version, response);
+    auto const accepted_at = this->deployment.version_times.at(version);
+    bool const is_overdue = sent.sent_at - accepted_at > configuration_lateness
+        && Deployment::is_unaffected_with_margin(this->host, accepted_at);
+    if (is_overdue && response.has(Http::Status::not_found))
+        this->checker.violation(this->host.name + " did not apply version " + std::to_string(version) + " in time");
 }
 
 void Caller::connect()
@@ -165,7 +165,7 @@
     this->connection = std::make_shared<Http::BackendConnection>(this->loop, endpoint);
 }
 
-void Caller::exchange(Http::Request request, std::function<void(ObservedResponse)> on_end, Duration patience)
+void Caller::exchange(Http::Request request, std::function<void(ObservedResponse)> on_end, Duration timeout)
 {
     bool const is_new = !this->connection || !this->connection->is_reusable() || this->draw() < new_connection_share;
     if (is_new)
@@ -173,68 +173,68 @@
     if (this->is_slow)
         this->host.slow_caller_link->set_tail(request.body().size(), this->draw_interval());
     this->is_waiting = true;
-    auto answer = std::make_shared<ObservedResponse>();
-    answer->is_on_persistent_connection = !is_new;
+    auto response = std::make_shared<ObservedResponse>();
+    response->is_on_persistent_connection = !is_new;
     auto self = this->shared_from_this();
-    auto finish = [self, answer, on_end = std::move(on_end)] {
+    auto finish = [self, response, on_end = std::move(on_end)] {
         self->is_waiting = false;
         self->response_timer.cancel();
-        on_end(std::move(*answer));
+        on_end(std::move(*response));
     };
     Http::ExchangeObserver observer {
-        [answer](Http::ResponseHead const& head) {
-            answer->status = head.result_int();
-            answer->has_stamp = head.count("Lilactiller-Response-Stamp") > 0;
+        [response](Http::ResponseHead const& head) {
+            response->status = head.result_int();
+            response->has_stamp = head.count("Lilactiller-Response-Stamp") > 0;
             return Http::HeadVerdict::Take;
         },
-        [answer](std::string_view piece) { answer->body += piece; },
-        [answer, finish](Http::ExchangeEnd end, std::string const& reason) {
-            answer->is_complete = end == Http::ExchangeEnd::Complete;
-            answer->end = end;
-            answer->end_reason = reason;
+        [response](std::string_view piece) { response->body += piece; },
+        [response, finish](Http::ExchangeEnd end, std::string const& reason) {
+            response->is_complete = end == Http::ExchangeEnd::Complete;
+            response->end = end;
+            response->end_reason = reason;
             finish();
         },
     };
     request.prepare_payload();
-    this->connection->exchange(std::move(request), std::move(observer), patience, patience);
-    this->cancel_after(patience, [answer, finish] {
-        answer->caller_disconnected = true;
+    this->connection->exchange(std::move(request), std::move(observer), timeout, timeout);
+    this->cancel_after(timeout, [response, finish] {
+        response->caller_disconnected = true;
         finish();
     });
 }
 
-void Caller::cancel_after(Duration patience, std::function<void()> on_left)
+void Caller::cancel_after(Duration timeout, std::function<void()> on_cancelled)
 {
     auto self = this->shared_from_this();
-    this->response_timer.expires_after(patience);
+    this->response_timer.expires_after(timeout);
     this->response_timer.async_wait(
-        [self, used = this->connection, on_left = std::move(on_left)](boost::system::error_code error) {
+        [self, used = this->connection, on_cancelled = std::move(on_cancelled)](boost::system::error_code error) {
             if (error || !self->is_waiting || self->connection != used)
                 return;
             used->cancel();
-            on_left();
+            on_cancelled();
         });
 }
 
-void Caller::on_exchange_end(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
+void Caller::on_exchange_end(std::string const& attempt, SentRequest const& sent, ObservedResponse response)
 {
-    if (answer.is_success() && answer.is_complete)
+    if (response.is_success() && response.is_complete)
         ++this->served_count;
-    this->check_planned_stop(attempt, sent, answer);
-    this->record_result(attempt, sent, std::move(answer));
+    this->check_planned_stop(attempt, sent, response);
+    this->record_result(attempt, sent, std::move(response));
 }
 
-void Caller::record_result(std::string const& attempt, SentRequest const& sent, ObservedResponse answer)
+void Caller::record_result(std::string const& attempt, SentRequest const& sent, ObservedResponse response)
 {
-    this->checker.record_ending(attempt, this->ending_of(attempt, sent, answer), answer);
-    this->checker.check_response(attempt, std::move(answer));
+    this->checker.record_ending(attempt, this->ending_of(attempt, sent, response), response);
+    this->checker.check_response(attempt, std::move(response));
     this->schedule_next_request();
 }
 
 bool Caller::is_host_terminated(SentRequest const& sent) const
 {
-    bool const has_ended_by_itself = !this->host.daemon->is_running() && !this->host.stopping_since;
-    return this->host.was_killed || has_ended_by_itself || sent.host_incarnation != this->host.daemon->incarnation();
+    bool const has_crashed = !this->host.daemon->is_running() && !this->host.stopping_since;
+    return this->host.was_killed || has_crashed || sent.host_incarnation != this->host.daemon->incarnation();
 }
 
 Ending Caller::refusal(SentRequest const& sent) const
@@ -244,21 +244,21 @@
     return this->host.stopping_since ? Ending::RefusedHostStopping : Ending::RefusedHostUp;
 }
 
-Ending Caller::ending_of(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer) const
+Ending Caller::ending_of(std::string const& attempt, SentRequest const& sent, ObservedResponse const& response) const
 {
-    if (answer.is_complete)
+    if (response.is_complete)
         return Ending::Complete;
-    if (answer.caller_disconnected)
+    if (response.caller_disconnected)
         return Ending::CallerDisconnected;
-    if (answer.end == Http::ExchangeEnd::NotConnected)
+    if (response.end == Http::ExchangeEnd::NotConnected)
         return this->refusal(sent);
     if (this->is_host_terminated(sent))
         return Ending::ClosedHostTerminated;
     auto const& stop = this->host.stopping_since;
-    if (stop && Deployment::now() - *stop >= Deployment::stop_grace - last_of_grace)
+    if (stop && Deployment::now() - *stop >= Deployment::stop_grace - grace_end_margin)
         return Ending::ClosedGraceExpired;
-    // A stream whose head has been passed on cannot be given another answer; every other request can.
-    bool const is_stream = sent.kind == CallKind::Draft && answer.is_success();
+    // A stream whose head has been relayed can get no other response; every other request can.
+    bool const is_stream = sent.kind == CallKind::Draft && response.is_success();
     bool const had_time = Deployment::now() - sent.sent_at < route_of(sent.kind).timeout;
     if (is_stream && (!had_time || this->deployment.engine_may_have_interrupted(attempt, sent.sent_at)))
         return Ending::ClosedStreamBroken;
@@ -268,23 +268,24 @@
                                                                            : Ending::ClosedHostAffected;
 }
 
-void Caller::check_promptness(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
+void Caller::check_promptness(std::string const& attempt, SentRequest const& sent, ObservedResponse const& response)
 {
-    if (answer.caller_disconnected && Deployment::is_unaffected_with_margin(this->host, sent.sent_at))
-        this->checker.violation(attempt + " got no answer in its time from " + this->host.name);
+    if (response.caller_disconnected && Deployment::is_unaffected_with_margin(this->host, sent.sent_at))
+        this->checker.violation(attempt + " got no response in time from " + this->host.name);
 }
 
-void Caller::check_planned_stop(std::string const& attempt, SentRequest const& sent, ObservedResponse const& answer)
+void Caller::check_planned_stop(std::string const& attempt, SentRequest const& sent, ObservedResponse const& response)
 {
     auto const& stop = this->host.stopping_since;
-    bool const was_cut = !answer.is_complete && !answer.caller_disconnected;
-    if (!stop || !was_cut || !Deployment::is_unaffected_with_margin(this->host, sent.sent_at))
+    bool const was_interrupted = !response.is_complete && !response.caller_disconnected;
+    if (!stop || !was_interrupted || !Deployment::is_unaffected_with_margin(this->host, sent.sent_at))
         return;
-    // A request that crosses the close is not passed on; one that was read is answered.
-    bool const has_run = this->deployment.runs().contains(attempt);
+    // The host does not forward a request that crosses its close of the connection; it responds to one that it has
+    // read.
+    bool const was_forwarded = this->deployment.runs().contains(attempt);
     bool const had_time = sent.sent_at < *stop && Deployment::now() - *stop < Deployment::stop_grace / 2;
-    if (has_run && had_time)
-        this->checker.violation(attempt + " was cut by the planned stop of " + this->host.name);
+    if (was_forwarded && had_time)
+        this->checker.violation(attempt + " was interrupted by the planned stop of " + this->host.name);
 }
 
 }
--- a/Tests/Soak/Caller.h
+++ b/Tests/Soak/Caller.h
@@ -12,20 +12,20 @@
 
 namespace Soak {
 
-/// One caller of one host: sends a request, waits for its end, rests, and goes on, mostly on the connection that it has
-/// open. It keeps that one for as long as the host lets it, also through a planned stop.
+/// One caller of one host. Sends a request, waits for the end of its response, waits for an interval, and repeats. It
+/// mostly reuses its open connection and keeps it until the host closes it, also during a planned stop.
 class Caller : public std::enable_shared_from_this<Caller> {
 public:
     Caller(Http::asio::io_context&, Deployment&, PromiseChecker&, HostInstance&, std::string name, u32 seed);
 
-    /// Begins with a rest; the loop goes on from there. The object must be held by a std::shared_ptr.
+    /// Schedules the first request; the event loop does the rest. The object must be held by a std::shared_ptr.
     void start() { this->schedule_next_request(); }
-    /// Sends bodies later than heads from now on.
+    /// From now on, sends each request's body later than its head.
     void send_slowly() { this->is_slow = true; }
-    /// Sends no more; what is under way goes on to its end.
+    /// Sends no further request; a request in flight completes.
     void stop() { this->is_stopping = true; }
     [[nodiscard]] bool is_idle() const { return !this->is_waiting; }
-    /// Whole answers with success so far, those to probes not counted.
+    /// Complete successful responses so far, excluding those to probes.
     [[nodiscard]] u32 served() const { return this->served_count; }
 
 private:
@@ -33,9 +33,9 @@
     void send();
     void send_request(CallKind);
     void send_probe();
-    /// `on_end` is called once: when the answer has ended, or the caller has left after `patience`.
-    void exchange(Http::Request, std::function<void(ObservedResponse)> on_end, Duration patience);
-    void cancel_after(Duration patience, std::function<void()> on_left);
+    /// Calls `on_end` once: when the response has ended, or when the caller has disconnected after `timeout`.
+    void exchange(Http::Request, std::function<void(ObservedResponse)> on_end, Duration timeout);
+    void cancel_after(Duration timeout, std::function<void()> on_cancelled);
     void on_exchange_end(std::string const& attempt, SentRequest const&, ObservedResponse);
     void record_result(std::string const& attempt, SentRequest const&, ObservedResponse);
     [[nodiscard]] Ending ending_of(std::string const& attempt, SentRequest const&, ObservedResponse const&) const;
@@ -45,10 +45,10 @@
     void check_probe(u64 version, SentRequest const&, ObservedResponse const&);
     void check_promptness(std::string const& attempt, SentRequest const&, ObservedResponse const&);
     void check_planned_stop(std::string const& attempt, SentRequest const&, ObservedResponse const&);
-    /// Makes a request known to the checker, as it is sent next.
+    /// Registers a request with the checker before it is sent.
     [[nodiscard]] SentRequest register_request(CallKind, std::string const& attempt, std::string target);
     [[nodiscard]] double draw();
-    /// Mostly short; the others end about when the host's patience with an idle connection does.
+    /// Mostly short. The other intervals end at about the host's idle timeout.
     [[nodiscard]] Duration draw_interval();
 
     Http::asio::io_context& loop;
--- a/Tests/Soak/Configuration.cpp
+++ b/Tests/Soak/Configuration.cpp
@@ -57,7 +57,7 @@
 {
     using StandIn::PlatformRunner;
     auto engines = service_entry(engine_service);
-    // Bytes of a token, the link and the stride are those of Tests/Platform/HostFixture.h.
+    // Token bytes, link rate and stride are those of Tests/Platform/HostFixture.h.
     engines["engine"] = Json::object { { "slots", PlatformRunner::slots }, { "kv_capacity", PlatformRunner::kv_tokens },
         { "kv_token_bytes", 18'432 }, { "link_mbps", 2700.0 }, { "moves", true }, { "stride", 4 } };
     return { service_entry(plain_service), engines };
--- a/Tests/Soak/Configuration.h
+++ b/Tests/Soak/Configuration.h
@@ -11,7 +11,7 @@
 
 namespace Soak {
 
-/// What a request of the soak asks for.
+/// The kind of a request of the soak.
 enum class CallKind : u8 {
     /// Runs at most once.
     Lookup,
@@ -21,13 +21,13 @@
     Draft,
 };
 
-/// How a route of the soak is configured.
+/// Configuration of a route of the soak.
 struct RouteSettings {
     CallKind kind { CallKind::Lookup };
     std::string prefix;
     std::string service;
     Duration timeout { 0 };
-    /// Tries in all, the first one counted.
+    /// Total dispatches of a request, including the first one.
     u32 max_dispatches { 1 };
 };
 
@@ -38,20 +38,20 @@
 inline constexpr auto organisation_key = "plaza-key";
 inline constexpr auto plain_service = "lanes";
 inline constexpr auto engine_service = "models";
-/// After which hosts close callers' connections without a request: a few hundred milliseconds, so that their closes
-/// cross requests all the time; longer than a caller's usual rest.
+/// Hosts close callers' idle connections after this time. It is short enough that closes keep crossing requests, and
+/// longer than a caller's usual interval between requests.
 inline constexpr Duration idle_timeout = 300ms;
 
-/// The operator's configuration as it grows: each version adds a probe route, and none is taken away.
+/// The operator's growing configuration: each version adds a probe route, and none is ever removed.
 class Configuration {
 public:
-    /// One more version; answers its number.
+    /// Adds a version and returns its number.
     u64 add_version();
     [[nodiscard]] u64 version() const { return this->current; }
-    /// As the platform's store keeps it, in JSON.
+    /// The configuration in JSON, in the format of the platform's store.
     [[nodiscard]] std::string text() const;
 
-    /// A path on the route that was added by `version`.
+    /// A path on the route that `version` added.
     static std::string probe_path(u64 version);
 
 private:
--- a/Tests/Soak/Daemon.cpp
+++ b/Tests/Soak/Daemon.cpp
@@ -37,7 +37,7 @@
     ::posix_spawn_file_actions_addopen(
         &actions, STDOUT_FILENO, this->log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, log_mode);
     ::posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    // With copies of the soak's sockets in the process, what the soak closes would stay open for its other end.
+    // If the process inherited the soak's sockets, connections that the soak closes would stay open for their peers.
     ::posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     auto settings_argument = "--settings=" + this->settings_path;
     char* arguments[] = { this->program.data(), settings_argument.data(), nullptr };
--- a/Tests/Soak/Daemon.h
+++ b/Tests/Soak/Daemon.h
@@ -13,23 +13,23 @@
 
 namespace Soak {
 
-/// One process of the product, started here and ended by its id alone.
+/// One process of the product, started here and signalled only by its process id.
 class Daemon {
 public:
-    /// Starts nothing yet. What the process prints is added to the log.
+    /// Does not start the process. Its output is appended to the log.
     Daemon(std::string program, std::string settings_path, std::string log_path);
     ~Daemon();
     Daemon(Daemon const&) = delete;
     Daemon& operator=(Daemon const&) = delete;
 
-    /// To be called only while it does not run. Throws std::system_error when the program cannot be started.
+    /// Must be called only while the process does not run. Throws std::system_error when the program cannot be started.
     void start();
     void send_signal(int number) const;
-    /// How the process ended, once after each end; nothing while it runs. As of waitpid(2).
+    /// Returns the wait status of waitpid(2) once after each exit of the process, and nothing while it runs.
     std::optional<int> reap();
 
     [[nodiscard]] bool is_running() const { return this->process_id > 0; }
-    /// Counts starts: what one life of the process believes ends with it.
+    /// Number of starts so far. The process keeps no view of the system across restarts.
     [[nodiscard]] u32 incarnation() const { return this->lives; }
 
 private:
--- a/Tests/Soak/DatagramProxy.cpp
+++ b/Tests/Soak/DatagramProxy.cpp
@@ -23,9 +23,9 @@
     this->receive();
 }
 
-void DatagramProxy::set_slow_and_lossy(Duration taken_delay, u32 drop_one_in)
+void DatagramProxy::set_slow_and_lossy(Duration new_delay, u32 drop_one_in)
 {
-    this->delay = taken_delay;
+    this->delay = new_delay;
     this->lost_one_of = drop_one_in;
 }
 
@@ -41,8 +41,8 @@
         Http::asio::buffer(this->buffer), this->sender, [this](boost::system::error_code error, size_t size) {
             if (error == Http::asio::error::operation_aborted)
                 return;
-            bool const is_lost = this->lost_one_of > 0 && ++this->count % this->lost_one_of == 0;
-            if (!error && !this->is_cut && !is_lost)
+            bool const is_dropped = this->lost_one_of > 0 && ++this->count % this->lost_one_of == 0;
+            if (!error && !this->is_cut && !is_dropped)
                 this->forward({ this->buffer.data(), size });
             this->receive();
         });
--- a/Tests/Soak/DatagramProxy.h
+++ b/Tests/Soak/DatagramProxy.h
@@ -13,8 +13,8 @@
 
 namespace Soak {
 
-/// Forwards datagrams to a target on loopback, and harms them on demand: late, lost in part, or lost altogether. What
-/// is lost is lost for good, as on a real link.
+/// Forwards datagrams to a target on loopback, and on demand delays them or drops some or all of them. Dropped
+/// datagrams are never delivered, as on a real link.
 class DatagramProxy {
 public:
     /// Throws boost::system::system_error when `listen` cannot be bound.
@@ -22,8 +22,8 @@
 
     [[nodiscard]] Http::tcp::endpoint const& endpoint() const { return this->listen; }
     [[nodiscard]] Http::tcp::endpoint const& target_endpoint() const { return this->target; }
-    /// From now on datagrams are this late, and one of so many is lost.
-    void set_slow_and_lossy(Duration taken_delay, u32 drop_one_in);
+    /// From now on, delays datagrams and drops one in `drop_one_in`.
+    void set_slow_and_lossy(Duration new_delay, u32 drop_one_in);
     void hold_all() { this->is_cut = true; }
     void heal();
 
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -14,17 +14,18 @@
 
 namespace Soak {
 
-/// How long a process may take beyond its grace to end after SIGTERM, on a busy machine.
-// Of a limit that a backend server names: the users' bound begins after the time of contact, counts any span of so
-// long, and counts a host from half a second on after it has passed on an answer; a second is for the first one.
+// The users' bound on a limit that a backend server advertises applies after the contact time and to any window of this
+// length. It counts a host from half a second after the host has relayed a response with the limit; another second
+// allows for that first response.
 static constexpr Duration limit_in_force_after = 3s;
 static constexpr Duration limit_window = 4s;
-static constexpr Duration limit_told_after = 1500ms;
+static constexpr Duration limit_known_after = 1500ms;
+/// A process may take this much longer than its stop grace to exit after SIGTERM, on a busy machine.
 static constexpr Duration stop_lateness = 10s;
 static constexpr double usual_retry_ratio = 0.2;
 static constexpr Duration plain_work_time = 15ms;
-/// How long after its notice a backend server may still get new work.
-static constexpr Duration latest_new_work = 4s;
+/// A backend server may still get new work for this long after its notice.
+static constexpr Duration max_new_work_delay = 4s;
 
 Deployment::Deployment(Http::asio::io_context& loop, PromiseChecker& checker, DeploymentSize size, std::string program,
     std::string directory)
@@ -170,7 +171,7 @@
 
 void Deployment::check_leaving(RunnerInstance const& instance, std::string const& attempt)
 {
-    if (!instance.leaving_since || now() - *instance.leaving_since < latest_new_work)
+    if (!instance.leaving_since || now() - *instance.leaving_since < max_new_work_delay)
         return;
     auto const* host = this->find_host(this->checker.host_of(attempt));
     if (host && is_unaffected_with_margin(*host, *instance.leaving_since))
@@ -192,7 +193,7 @@
 
 void Deployment::check_limit(RunnerInstance& instance, std::string const& attempt)
 {
-    if (!instance.limit || now() - instance.limit->since < limit_told_after)
+    if (!instance.limit || now() - instance.limit->since < limit_known_after)
         return;
     auto const* host = this->find_host(this->checker.host_of(attempt));
     if (!host || !is_unaffected_with_margin(*host, instance.limit->since))
@@ -203,7 +204,7 @@
     auto const allowed = 1.5 * instance.limit->per_second * AK::to_seconds(limit_window) + 5;
     bool const is_in_force = now() - instance.limit->since >= limit_in_force_after;
     if (is_in_force && static_cast<double>(arrivals.size()) > allowed)
-        this->checker.violation(instance.id + " named a limit of " + std::to_string(instance.limit->per_second)
+        this->checker.violation(instance.id + " advertised a limit of " + std::to_string(instance.limit->per_second)
             + " a second and got " + std::to_string(arrivals.size()) + " in 4 s");
 }
 
@@ -223,8 +224,8 @@
     if (now() < instance.affected_until)
         return this->notices.server_affected(instance.id);
     auto const host = this->checker.host_of(attempt);
-    if (auto const broken = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
-        this->checker.violation(*broken + " (" + attempt + ')');
+    if (auto const violation = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
+        this->checker.violation(*violation + " (" + attempt + ')');
     if (instance.runner->is_saying_it_leaves() && !instance.corrupts_responses)
         this->notices.record_leaving(instance.id, host, now());
 }
@@ -304,10 +305,11 @@
     auto const reached = this->checker.runners_of(attempt);
     bool const is_moved = this->was_moved(attempt);
     return std::ranges::any_of(this->runners, [&](auto const& instance) {
-        // A stream that moves may end at an engine that it has not reached yet, or by a spoiled answer to its going on.
-        bool const is_concerned = reached.contains(instance.id) || (is_moved && instance.service == engine_service);
+        // A moving stream may end at an engine that it has not reached yet, or by a corrupted response to its
+        // resumption.
+        bool const is_involved = reached.contains(instance.id) || (is_moved && instance.service == engine_service);
         bool const has_failed = instance.ended_at >= instant || instance.affected_until >= instant;
-        return is_concerned && (has_failed || (is_moved && instance.corrupts_responses));
+        return is_involved && (has_failed || (is_moved && instance.corrupts_responses));
     });
 }
 
@@ -330,16 +332,16 @@
     if (!status) {
         bool const is_overdue = host.stopping_since && now() - *host.stopping_since > stop_grace + stop_lateness;
         if (is_overdue && is_unaffected_since(host, *host.stopping_since)) {
-            this->checker.violation(host.name + " did not end within its grace after SIGTERM");
+            this->checker.violation(host.name + " did not exit within its stop grace after SIGTERM");
             host.stopping_since.reset();
             this->kill_host(host);
         }
         return;
     }
     if (!host.is_end_expected)
-        this->checker.violation(host.name + " ended by itself, with status " + std::to_string(*status));
+        this->checker.violation(host.name + " exited unexpectedly, with status " + std::to_string(*status));
     if (host.stopping_since && !(WIFEXITED(*status) && WEXITSTATUS(*status) == 0) && !WIFSIGNALED(*status))
-        this->checker.violation(host.name + " ended its planned stop with status " + std::to_string(*status));
+        this->checker.violation(host.name + " exited from its planned stop with status " + std::to_string(*status));
 }
 
 }
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -19,49 +19,49 @@
 
 namespace Soak {
 
-/// One entry host: its process, and the links to the platform and from the other hosts.
+/// One entry host: its process, its link to the platform and its link from the other hosts.
 struct HostInstance {
     std::string name;
     std::string domain;
     Http::tcp::endpoint callers;
     Http::tcp::endpoint readiness;
-    /// For a caller whose bodies come later than their heads. Nothing else is done to it.
+    /// For a caller that sends bodies later than heads. It suffers no other fault.
     std::unique_ptr<FaultProxy> slow_caller_link;
     std::unique_ptr<FaultProxy> platform_link;
     std::unique_ptr<DatagramProxy> peer_link;
     std::unique_ptr<Daemon> daemon;
     std::string settings_path;
-    /// A planned stop is under way since.
+    /// Start of the planned stop in progress.
     std::optional<Instant> stopping_since;
-    /// The soak itself ends the process or keeps it down, so that its end is no finding.
+    /// The soak itself terminates the process or keeps it down, so that its exit is no violation.
     bool is_end_expected { false };
-    /// In the process's present life.
+    /// The soak has killed the current incarnation of the process.
     bool was_killed { false };
     Instant frozen_until {};
-    /// Faults that touch this host last until.
+    /// End of the faults that affect this host, including their aftermath.
     Instant affected_until {};
 };
 
-/// A limit that a backend server names, and what has reached it since every host can have heard of that.
+/// A limit that a backend server advertises, and the requests it has got since all hosts can have received it.
 struct NamedLimit {
     double per_second { 0 };
     Instant since {};
-    /// Of hosts that nothing has harmed meanwhile.
+    /// Requests from hosts that no fault has affected since then.
     std::vector<Instant> arrivals;
 };
 
-/// One backend server and the link that all hosts reach it by.
+/// One backend server and the link by which all hosts reach it.
 struct RunnerInstance {
     std::string id;
     std::string service;
     std::string domain;
     std::unique_ptr<FaultProxy> link;
     std::unique_ptr<StandIn::PlatformRunner> runner;
-    /// The store has taken that it leaves.
+    /// When the store was updated with its leaving.
     std::optional<Instant> leaving_since;
     bool has_ended { false };
     Instant ended_at {};
-    /// Was told to, some time; the next requests that reach it get what it was told.
+    /// Has been set to corrupt responses at some time; its next requests get these faults.
     bool corrupts_responses { false };
     Instant affected_until {};
     std::optional<NamedLimit> limit;
@@ -74,35 +74,36 @@
     u32 plain_servers { 3 };
 };
 
-/// The system under test with what surrounds it: real processes of the product, and on the soak's own loop the
-/// platform's store, backend servers, and the links between all of them.
+/// The system under test and its environment: real processes of the product, and on the soak's own event loop the
+/// platform's store, the backend servers and all links between them.
 class Deployment {
 public:
     Deployment(Http::asio::io_context&, PromiseChecker&, DeploymentSize, std::string program, std::string directory);
 
     void start();
-    /// To be called all the time. Makes events, notes what runs where, and looks for processes that have ended.
+    /// Must be called periodically. Emits events, records what runs on each engine, and detects processes that have
+    /// exited.
     void tick();
 
     // --- hosts
     std::vector<std::unique_ptr<HostInstance>> hosts;
-    /// Does nothing while it runs. Throws std::system_error when it cannot be started.
+    /// Does nothing if the host is running. Throws std::system_error when it cannot be started.
     void start_host(HostInstance&);
     void kill_host(HostInstance&);
     void stop_host(HostInstance&);
-    /// Halts the process for this long; counts as no harm in itself.
+    /// Halts the process for this long. This alone does not mark the host as affected by a fault.
     void freeze_host(HostInstance&, Duration);
-    /// Writes the settings file anew; `ratio` is a setting that can change while the process runs.
+    /// Rewrites the settings file; `ratio` is a setting that can change while the process runs.
     void write_settings(HostInstance const&, double ratio) const;
-    /// Faults touch the host from now on for this long.
+    /// Records that faults affect the host from now on for this long.
     void mark_affected(HostInstance&, Duration);
     void mark_all_affected(Duration);
-    /// Neither the host nor its links have been harmed since `instant`.
+    /// No fault has affected the host or its links since `instant`.
     [[nodiscard]] static bool is_unaffected_since(HostInstance const& host, Instant instant)
     {
         return host.affected_until < instant;
     }
-    /// The same, for what begins at `instant`, which may still feel faults of shortly before.
+    /// The same for an event that begins at `instant` and may still be affected by faults shortly before it.
     [[nodiscard]] static bool is_unaffected_with_margin(HostInstance const& host, Instant instant)
     {
         return is_unaffected_since(host, instant - fault_margin);
@@ -111,22 +112,22 @@
     // --- backend servers
     std::list<RunnerInstance> runners;
     RunnerInstance& add_runner(std::string const& service, std::string const& domain);
-    /// Says that it leaves, and when it will end.
+    /// The server announces that it leaves, and when it will terminate.
     void drain(RunnerInstance&, Duration time_left);
-    /// Takes its row off the list for good; from then on it counts as leaving.
+    /// Removes its row from the list permanently; from then on it counts as leaving.
     void remove_row(RunnerInstance&);
     void put_row(RunnerInstance const&);
-    /// Writes its entry in its place.
+    /// Overwrites its entry.
     void put_entry(RunnerInstance const&, std::string const& value);
-    /// Names a limit in its answers from now on; until heal() or its end.
+    /// From now on the server advertises a limit in its responses, until withdraw_limit() or its termination.
     static void advertise_limit(RunnerInstance&, double per_second);
     static void withdraw_limit(RunnerInstance&);
-    /// Turns every request away from now on and asks its host for so long without any.
+    /// From now on the server rejects every request and requests this back-off from its host.
     void reject_all(RunnerInstance&, Duration back_off);
     static void accept_again(RunnerInstance&);
     /// Breaks its connections; its row stays.
     void end_runner(RunnerInstance&);
-    /// Those that take work, of one service.
+    /// The backend servers of a service that accept work.
     [[nodiscard]] std::vector<RunnerInstance*> serving(std::string const& service);
 
     // --- platform
@@ -135,7 +136,7 @@
     Http::tcp::endpoint const store_endpoint;
     StandIn::PlatformStore store;
     Configuration configuration;
-    /// When each version of the configuration was taken by the store, by number.
+    /// When the store accepted each version of the configuration, by number.
     std::map<u64, Instant> version_times;
     void put_configuration();
 
@@ -143,20 +144,20 @@
     {
         return this->domains.at(index % this->domains.size());
     }
-    /// Of all backend servers there have been, by attempt.
+    /// Number of runs of each attempt, over all backend servers so far.
     [[nodiscard]] std::map<std::string, u32> runs() const;
-    /// Whether what an engine did, or what was done to it, can have ended a stream that was under way since `instant`.
-    /// Leaving alone cannot: streams move.
+    /// Whether an engine, or a fault at one, can have interrupted a stream that was in progress since `instant`. An
+    /// engine that only leaves cannot: its streams move to another one.
     [[nodiscard]] bool engine_may_have_interrupted(std::string const& attempt, Instant instant) const;
     /// Null when no host has the name.
     [[nodiscard]] HostInstance const* find_host(std::string const& name) const;
     [[nodiscard]] static Instant now() { return AK::BootClock::now(); }
 
-    // Settings of the hosts: none longer than its default, so that a run of seconds meets their ends.
+    // Settings of the hosts. None is longer than its default, so that they expire within a run of seconds.
     static constexpr Duration stop_grace = 5s;
     static constexpr Duration drain_time = 800ms;
     static constexpr Duration list_recovery_time = 2s;
-    /// How shortly before an event faults may still be felt by it; chosen, on top of FaultSchedule::aftermath.
+    /// A fault may affect an event that begins up to this long after it, in addition to FaultSchedule::aftermath.
     static constexpr Duration fault_margin = 3s;
 
 private:
--- a/Tests/Soak/FaultProxy.cpp
+++ b/Tests/Soak/FaultProxy.cpp
@@ -35,13 +35,13 @@
         });
     }
 
-    /// Goes on with what was held back.
-    void wake()
+    /// Continues with the held bytes.
+    void resume()
     {
         for (auto direction : { Direction::ToTarget, Direction::FromTarget }) {
             auto& pump = this->pumps[index_of(direction)];
             if (std::exchange(pump.is_waiting, false))
-                this->pass_on(direction);
+                this->forward(direction);
         }
     }
 
@@ -86,11 +86,11 @@
                 pump.end = error;
                 pump.size = size;
                 pump.written = 0;
-                self->pass_on(direction);
+                self->forward(direction);
             });
     }
 
-    void pass_on(Direction direction)
+    void forward(Direction direction)
     {
         auto& pump = this->pumps[index_of(direction)];
         if (this->state->is_held[index_of(direction)]) {
@@ -130,13 +130,13 @@
             });
     }
 
-    /// All that is left, or what comes before the tail.
+    /// Bytes of the next write: all that remain, or those before the tail.
     [[nodiscard]] size_t next_size(Direction direction) const
     {
         auto const& pump = this->pumps[index_of(direction)];
         auto const tail = this->state->tail_size;
-        bool const is_parted = direction == Direction::ToTarget && pump.written == 0 && pump.size > tail;
-        return is_parted ? pump.size - tail : pump.size - pump.written;
+        bool const has_delayed_tail = direction == Direction::ToTarget && pump.written == 0 && pump.size > tail;
+        return has_delayed_tail ? pump.size - tail : pump.size - pump.written;
     }
 
     void written(Direction direction, size_t size)
@@ -212,7 +212,7 @@
     *this->state = {};
     for (auto const& known : this->links) {
         if (auto link = known.lock())
-            link->wake();
+            link->resume();
     }
 }
 
--- a/Tests/Soak/FaultProxy.h
+++ b/Tests/Soak/FaultProxy.h
@@ -14,8 +14,8 @@
 
 namespace Soak {
 
-/// Forwards TCP connections on loopback, and harms them on demand: bytes that are late, held back in one direction or
-/// both, and resets. What was held back is delivered once the harm is over, as after a partition.
+/// Forwards TCP connections on loopback, and on demand delays their bytes, holds them in one direction or both, or
+/// resets the connections. Held bytes are delivered once the fault is over, as after a partition.
 class FaultProxy {
 public:
     enum class Direction : u8 {
@@ -29,17 +29,16 @@
 
     [[nodiscard]] Http::tcp::endpoint const& endpoint() const { return this->listen; }
     [[nodiscard]] Http::tcp::endpoint const& target_endpoint() const { return this->target; }
-    /// Every piece of bytes that is read from now on is this late.
+    /// Delays each chunk of bytes that is read from now on.
     void set_delay(Duration);
-    /// Of every piece of bytes to the target that is read from now on, the last `size` are this much later than the
-    /// rest.
+    /// From now on, delays the last `size` bytes of each chunk to the target after the rest of it.
     void set_tail(size_t size, Duration delay);
-    /// Lets nothing pass in this direction, and does not tell of ends either.
+    /// Forwards neither bytes nor the end of a connection in this direction.
     void hold(Direction);
     void hold_all();
-    /// Resets all open connections; new ones are taken.
+    /// Resets all open connections; new ones are still accepted.
     void reset_all();
-    /// Ends every harm, and delivers what was held back.
+    /// Ends every fault and delivers the held bytes.
     void heal();
 
 private:
--- a/Tests/Soak/NoticeChecker.h
+++ b/Tests/Soak/NoticeChecker.h
@@ -14,27 +14,27 @@
 
 namespace Soak {
 
-/// What backend servers have asked of single hosts in their answers, and whether the hosts keep to it. A host that has
-/// started anew knows nothing of it; one that is halted may read an answer later than it came.
+/// Checks whether hosts comply with what backend servers request in responses to them: back-off, and no new work for a
+/// leaving server. A restarted host knows no such request; a halted one may read a response later than it arrived.
 class NoticeChecker {
 public:
-    /// `drain_time`: how long after a server's word that it leaves requests may still be sent to it.
+    /// `drain_time`: for this long after a server has reported that it leaves, hosts may still send requests to it.
     explicit NoticeChecker(Duration drain_time)
         : drain_time(drain_time)
     {
     }
 
-    /// `server` has turned a request of `host` away and asked for back-off.
+    /// `server` has rejected a request of `host` and requested back-off.
     void record_back_off(std::string const& server, std::string const& host, Duration back_off, Instant now);
-    /// `server` answers `host`, and says that it leaves.
+    /// `server` reports in a response to `host` that it leaves.
     void record_leaving(std::string const& server, std::string const& host, Instant now);
-    /// A request of `host`, which its caller sent at `sent_at`, has reached `server`. Answers what is wrong with that.
+    /// A request of `host`, which its caller sent at `sent_at`, has reached `server`. Returns the violation, if any.
     [[nodiscard]] std::optional<std::string> check_arrival(
         std::string const& server, std::string const& host, Instant sent_at, Instant now);
 
     void host_started(std::string const& host);
     void host_halted(std::string const& host, Instant now, Instant until);
-    /// Answers of the server may be lost or late.
+    /// A fault may lose or delay responses of the server.
     void server_affected(std::string const& server);
 
 private:
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -10,16 +10,16 @@
 
 namespace Soak {
 
-/// Events of a generation: evenly from 3 to 149, which is up to three seconds' worth at Soak.cpp's 20 ms each.
-static constexpr u64 fewest_events = 3;
-static constexpr u64 event_spread = 147;
+/// Events of a generation: uniform from 3 to 149, which takes up to three seconds at Soak.cpp's 20 ms per event.
+static constexpr u64 min_events = 3;
+static constexpr u64 event_count_range = 147;
 
 u64 PromiseChecker::planned_events(std::string const& attempt)
 {
-    return fewest_events + XXH3_64bits(attempt.data(), attempt.size()) % event_spread;
+    return min_events + XXH3_64bits(attempt.data(), attempt.size()) % event_count_range;
 }
 
-/// As the stand-in of an engine words it.
+/// An event in the format of the stand-in engine.
 static std::string event_text(std::string const& attempt, u64 number)
 {
     return "id: " + std::to_string(number) + "\ndata: token of " + attempt + "\n\n";
@@ -92,7 +92,7 @@
         return found == received.headers.end() ? std::string() : found->second;
     };
     if (received.body != request.body || received.target != request.target)
-        this->violation(runner + " got a changed request of " + received.attempt);
+        this->violation(runner + " got a modified request of " + received.attempt);
     if (service != route_of(request.kind).service)
         this->violation(runner + " of " + service + " got " + received.attempt + " of another service");
     if (header("Lilactiller-Tenant") != organisation)
@@ -101,69 +101,69 @@
         this->violation(runner + " was shown the key of " + received.attempt);
 }
 
-void PromiseChecker::check_response(std::string const& attempt, ObservedResponse answer)
+void PromiseChecker::check_response(std::string const& attempt, ObservedResponse response)
 {
     auto known = this->requests.find(attempt);
-    ++this->status_counts[answer.status];
-    if (known != this->requests.end() && answer.is_success())
-        this->check_success(attempt, known->second, answer);
-    this->answers.emplace(attempt, std::move(answer));
+    ++this->status_counts[response.status];
+    if (known != this->requests.end() && response.is_success())
+        this->check_success(attempt, known->second, response);
+    this->answers.emplace(attempt, std::move(response));
 }
 
-void PromiseChecker::record_ending(std::string const& attempt, Ending ending, ObservedResponse const& answer)
+void PromiseChecker::record_ending(std::string const& attempt, Ending ending, ObservedResponse const& response)
 {
     ++this->endings[ending];
-    bool const is_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostAffected
+    bool const was_closed_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostAffected
         || ending == Ending::ClosedHostUnaffected;
-    if (!is_by_host)
+    if (!was_closed_by_host)
         return;
     this->closed_by_host[attempt] = std::string(to_string(ending)) + ", "
-        + (answer.is_on_persistent_connection ? "kept" : "new") + " connection, status " + std::to_string(answer.status)
-        + ", " + Http::describe(answer.end, answer.end_reason);
+        + (response.is_on_persistent_connection ? "kept" : "new") + " connection, status "
+        + std::to_string(response.status) + ", " + Http::describe(response.end, response.end_reason);
 }
 
 void PromiseChecker::check_closed()
 {
-    // At the end only: what was passed on may reach its backend server later than the caller sees the close.
+    // Checked at the end only: a forwarded request may reach its backend server after the caller has seen the close.
     for (auto const& [attempt, seen] : this->closed_by_host) {
         if (!this->runners_by_attempt.contains(attempt))
             continue;
-        this->violation(attempt + " was passed on by " + this->host_of(attempt)
-            + ", which then closed its caller's connection without an answer (" + seen + ')');
+        this->violation(attempt + " was forwarded by " + this->host_of(attempt)
+            + ", which then closed the caller's connection without a response (" + seen + ')');
     }
 }
 
 void PromiseChecker::check_success(
-    std::string const& attempt, SentRequest const& request, ObservedResponse const& answer)
+    std::string const& attempt, SentRequest const& request, ObservedResponse const& response)
 {
-    if (!answer.has_stamp)
+    if (!response.has_stamp)
         this->violation(attempt + " got a success without a signature");
     if (request.kind == CallKind::Draft)
-        return this->check_stream(attempt, answer);
-    if (answer.is_complete && answer.body != "answer to " + request.target)
-        this->violation(attempt + " got an answer that is not its own: " + answer.body);
+        return this->check_stream(attempt, response);
+    if (response.is_complete && response.body != "answer to " + request.target)
+        this->violation(attempt + " got the response of another request: " + response.body);
 }
 
-void PromiseChecker::check_stream(std::string const& attempt, ObservedResponse const& answer)
+void PromiseChecker::check_stream(std::string const& attempt, ObservedResponse const& response)
 {
-    std::string whole;
+    std::string expected;
     for (u64 number = 1; number <= planned_events(attempt); ++number)
-        whole += event_text(attempt, number);
-    if (!whole.starts_with(answer.body))
-        this->violation(attempt + " got events that are missing, doubled, out of order or another's");
-    if (answer.is_complete && answer.body != whole)
-        this->violation(attempt + " ended as complete before its last event");
+        expected += event_text(attempt, number);
+    if (!expected.starts_with(response.body))
+        this->violation(attempt + " got events that are missing, duplicate, out of order or of another generation");
+    if (response.is_complete && response.body != expected)
+        this->violation(attempt + " was completed before its last event");
 }
 
 void PromiseChecker::record_running(
-    std::string const& runner, std::vector<std::string> const& attempts, bool is_excused, Instant now)
+    std::string const& runner, std::vector<std::string> const& attempts, bool is_exempt, Instant now)
 {
     std::set<std::string> const present(attempts.begin(), attempts.end());
     for (auto& [attempt, runners] : this->running_since) {
-        if (!present.contains(attempt) || is_excused)
+        if (!present.contains(attempt) || is_exempt)
             runners.erase(runner);
     }
-    if (is_excused)
+    if (is_exempt)
         return;
     for (auto const& attempt : attempts) {
         auto& runners = this->running_since[attempt];
@@ -171,29 +171,30 @@
         size_t const overlapping = static_cast<size_t>(
             std::ranges::count_if(runners, [&](auto const& entry) { return now - entry.second > tolerated_overlap; }));
         if (overlapping > 1) {
-            this->violation(attempt + " runs at two engines at once");
+            this->violation(attempt + " runs on two engines at once");
             runners.clear();
         }
     }
     std::erase_if(this->running_since, [](auto const& entry) { return entry.second.empty(); });
 }
 
-void PromiseChecker::check_probe_response(SentRequest const& request, u64 version, ObservedResponse const& answer)
+void PromiseChecker::check_probe_response(SentRequest const& request, u64 version, ObservedResponse const& response)
 {
     auto& served = this->served_probes[{ request.host, request.host_incarnation }];
-    if (answer.has(Http::Status::ok))
+    if (response.has(Http::Status::ok))
         served.insert(version);
-    // A route that a host has served in this life was added by a version that is in force, and none is ever dropped.
-    if (answer.has(Http::Status::not_found) && !served.empty() && *served.rbegin() >= version)
-        this->violation(request.host + " went back behind version " + std::to_string(*served.rbegin())
-            + " to one without " + std::to_string(version));
+    // A host that has served a route in this incarnation has applied the version that added it, and no version removes
+    // a route.
+    if (response.has(Http::Status::not_found) && !served.empty() && *served.rbegin() >= version)
+        this->violation(request.host + " reverted from version " + std::to_string(*served.rbegin()) + " to one without "
+            + std::to_string(version));
 }
 
-/// Refusals that a host may give only for a request that has not run.
-static bool says_not_run(ObservedResponse const& answer)
+/// Statuses with which a host may refuse a request only if it has not run.
+static bool reports_not_run(ObservedResponse const& response)
 {
-    return answer.has(Http::Status::too_many_requests) || answer.has(Http::Status::service_unavailable)
-        || answer.has(Http::Status::request_timeout) || answer.has(Http::Status::misdirected_request);
+    return response.has(Http::Status::too_many_requests) || response.has(Http::Status::service_unavailable)
+        || response.has(Http::Status::request_timeout) || response.has(Http::Status::misdirected_request);
 }
 
 void PromiseChecker::finish(std::map<std::string, u32> const& runs)
@@ -205,11 +206,11 @@
             continue;
         if (known->second.kind != CallKind::Tariff && count > 1)
             this->violation(attempt + ", which may run once, ran " + std::to_string(count) + " times");
-        auto answer = this->answers.find(attempt);
-        if (answer == this->answers.end() || known->second.kind == CallKind::Tariff)
+        auto response = this->answers.find(attempt);
+        if (response == this->answers.end() || known->second.kind == CallKind::Tariff)
             continue;
-        if (says_not_run(answer->second))
-            this->violation(attempt + " was told " + std::to_string(answer->second.status) + ", and ran");
+        if (reports_not_run(response->second))
+            this->violation(attempt + " got status " + std::to_string(response->second.status) + " and ran");
     }
 }
 
