--- a/Tests/Soak/Daemon.cpp
+++ b/Tests/Soak/Daemon.cpp
@@ -47,7 +47,7 @@
         this->process_id = 0;
         throw std::system_error(error, std::generic_category(), this->program + " cannot be started");
     }
-    ++this->lives;
+    ++this->start_count;
 }
 
 void Daemon::send_signal(int number) const
--- a/Tests/Soak/Daemon.h
+++ b/Tests/Soak/Daemon.h
@@ -30,14 +30,14 @@
 
     [[nodiscard]] bool is_running() const { return this->process_id > 0; }
     /// Number of starts so far. The process keeps no view of the system across restarts.
-    [[nodiscard]] u32 incarnation() const { return this->lives; }
+    [[nodiscard]] u32 incarnation() const { return this->start_count; }
 
 private:
     std::string program;
     std::string settings_path;
     std::string log_path;
     pid_t process_id { 0 };
-    u32 lives { 0 };
+    u32 start_count { 0 };
 };
 
 }
