--- a/Tests/Soak/DatagramProxy.cpp
+++ b/Tests/Soak/DatagramProxy.cpp
@@ -31,7 +31,7 @@
 
 void DatagramProxy::heal()
 {
-    this->is_cut = false;
+    this->drops_all = false;
     this->set_slow_and_lossy(0s, 0);
 }
 
@@ -42,7 +42,7 @@
             if (error == Http::asio::error::operation_aborted)
                 return;
             bool const is_dropped = this->lost_one_of > 0 && ++this->count % this->lost_one_of == 0;
-            if (!error && !this->is_cut && !is_dropped)
+            if (!error && !this->drops_all && !is_dropped)
                 this->forward({ this->buffer.data(), size });
             this->receive();
         });
--- a/Tests/Soak/DatagramProxy.h
+++ b/Tests/Soak/DatagramProxy.h
@@ -24,7 +24,7 @@
     [[nodiscard]] Http::tcp::endpoint const& target_endpoint() const { return this->target; }
     /// From now on, delays datagrams and drops one in `drop_one_in`.
     void set_slow_and_lossy(Duration new_delay, u32 drop_one_in);
-    void hold_all() { this->is_cut = true; }
+    void hold_all() { this->drops_all = true; }
     void heal();
 
 private:
@@ -40,7 +40,7 @@
     Udp::socket socket;
     Udp::endpoint sender;
     std::array<char, max_datagram_bytes> buffer {};
-    bool is_cut { false };
+    bool drops_all { false };
     Duration delay { 0 };
     u32 lost_one_of { 0 };
     u32 count { 0 };
