--- a/Tests/Soak/DatagramProxy.cpp
+++ b/Tests/Soak/DatagramProxy.cpp
@@ -26,7 +26,7 @@
 void DatagramProxy::set_slow_and_lossy(Duration new_delay, u32 drop_one_in)
 {
     this->delay = new_delay;
-    this->lost_one_of = drop_one_in;
+    this->dropped_one_in = drop_one_in;
 }
 
 void DatagramProxy::heal()
@@ -41,7 +41,7 @@
         Http::asio::buffer(this->buffer), this->sender, [this](boost::system::error_code error, size_t size) {
             if (error == Http::asio::error::operation_aborted)
                 return;
-            bool const is_dropped = this->lost_one_of > 0 && ++this->count % this->lost_one_of == 0;
+            bool const is_dropped = this->dropped_one_in > 0 && ++this->count % this->dropped_one_in == 0;
             if (!error && !this->drops_all && !is_dropped)
                 this->forward({ this->buffer.data(), size });
             this->receive();
--- a/Tests/Soak/DatagramProxy.h
+++ b/Tests/Soak/DatagramProxy.h
@@ -42,7 +42,7 @@
     std::array<char, max_datagram_bytes> buffer {};
     bool drops_all { false };
     Duration delay { 0 };
-    u32 lost_one_of { 0 };
+    u32 dropped_one_in { 0 };
     u32 count { 0 };
 };
 
