--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -107,7 +107,7 @@
     ++this->status_counts[response.status];
     if (known != this->requests.end() && response.is_success())
         this->check_success(attempt, known->second, response);
-    this->answers.emplace(attempt, std::move(response));
+    this->responses.emplace(attempt, std::move(response));
 }
 
 void PromiseChecker::record_ending(std::string const& attempt, Ending ending, ObservedResponse const& response)
@@ -206,8 +206,8 @@
             continue;
         if (known->second.kind != CallKind::Tariff && count > 1)
             this->violation(attempt + ", which may run once, ran " + std::to_string(count) + " times");
-        auto response = this->answers.find(attempt);
-        if (response == this->answers.end() || known->second.kind == CallKind::Tariff)
+        auto response = this->responses.find(attempt);
+        if (response == this->responses.end() || known->second.kind == CallKind::Tariff)
             continue;
         if (reports_not_run(response->second))
             this->violation(attempt + " got status " + std::to_string(response->second.status) + " and ran");
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -116,7 +116,7 @@
     void check_closed();
 
     std::map<std::string, SentRequest> requests;
-    std::map<std::string, ObservedResponse> answers;
+    std::map<std::string, ObservedResponse> responses;
     std::map<unsigned, u32> status_counts;
     std::map<Ending, u32> endings;
     std::map<std::string, std::set<std::string>> runners_by_attempt;
