--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -93,7 +93,7 @@
     this->restore_entry();
     std::vector<RunnerInstance*> living;
     for (auto& instance : this->deployment.runners) {
-        if (!instance.has_ended && !instance.leaving_since)
+        if (!instance.is_terminated && !instance.leaving_since)
             living.push_back(&instance);
     }
     auto const value = values.at(draw_below(this->entry_random, values.size()));
@@ -108,7 +108,7 @@
 void BackgroundFaults::restore_entry()
 {
     auto* instance = std::exchange(this->corrupted_server, nullptr);
-    if (instance && !instance->has_ended && !instance->leaving_since)
+    if (instance && !instance->is_terminated && !instance->leaving_since)
         this->deployment.put_row(*instance);
 }
 
@@ -117,7 +117,7 @@
     constexpr u32 lowest = 1;
     constexpr u32 rates = 2;
     bool const is_over_there
-        = this->limited_server && (this->limited_server->has_ended || this->limited_server->leaving_since);
+        = this->limited_server && (this->limited_server->is_terminated || this->limited_server->leaving_since);
     auto const serving = this->deployment.serving(plain_service);
     if ((!this->limited_server || is_over_there) && serving.size() >= min_serving) {
         this->limited_server = serving.at(draw_below(this->limit_random, static_cast<u32>(serving.size())));
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -155,7 +155,7 @@
     };
     instance.runner->on_copy = [this](std::string const& target, std::string const& handle, u64 made) {
         return std::ranges::any_of(this->runners, [&](RunnerInstance& candidate) {
-            return candidate.runner->address() == target && !candidate.has_ended
+            return candidate.runner->address() == target && !candidate.is_terminated
                 && candidate.runner->receive_copy(handle, made);
         });
     };
@@ -259,7 +259,7 @@
 
 void Deployment::end_runner(RunnerInstance& instance)
 {
-    instance.has_ended = true;
+    instance.is_terminated = true;
     instance.ended_at = now();
     instance.runner->end();
     instance.link->reset_all();
@@ -270,7 +270,7 @@
 {
     std::vector<RunnerInstance*> result;
     for (auto& instance : this->runners) {
-        if (instance.service == service && !instance.leaving_since && !instance.has_ended)
+        if (instance.service == service && !instance.leaving_since && !instance.is_terminated)
             result.push_back(&instance);
     }
     return result;
@@ -317,7 +317,7 @@
 {
     auto const at = now();
     for (auto& instance : this->runners) {
-        if (instance.has_ended)
+        if (instance.is_terminated)
             continue;
         instance.runner->make_events();
         this->checker.record_running(instance.id, instance.runner->running(), at < instance.affected_until, at);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -59,7 +59,7 @@
     std::unique_ptr<StandIn::PlatformRunner> runner;
     /// When the store was updated with its leaving.
     std::optional<Instant> leaving_since;
-    bool has_ended { false };
+    bool is_terminated { false };
     Instant ended_at {};
     /// Has been set to corrupt responses at some time; its next requests get these faults.
     bool corrupts_responses { false };
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -262,7 +262,7 @@
         for (auto* instance : serving) {
             auto delay = this->draw_duration(0s, Deployment::list_recovery_time / 2);
             this->after(delay, [this, instance] {
-                if (!instance->has_ended && !instance->leaving_since)
+                if (!instance->is_terminated && !instance->leaving_since)
                     this->deployment.put_row(*instance);
             });
         }
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -157,7 +157,7 @@
     [[nodiscard]] bool engines_are_idle() const
     {
         return std::ranges::all_of(this->deployment.runners,
-            [](auto const& instance) { return instance.has_ended || instance.runner->running_count() == 0; });
+            [](auto const& instance) { return instance.is_terminated || instance.runner->running_count() == 0; });
     }
 
     void stop_hosts()
