--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -260,7 +260,7 @@
 void Deployment::end_runner(RunnerInstance& instance)
 {
     instance.is_terminated = true;
-    instance.ended_at = now();
+    instance.terminated_at = now();
     instance.runner->end();
     instance.link->reset_all();
     this->checker.record_running(instance.id, {}, false, now());
@@ -308,7 +308,7 @@
         // A moving stream may end at an engine that it has not reached yet, or by a corrupted response to its
         // resumption.
         bool const is_involved = reached.contains(instance.id) || (is_moved && instance.service == engine_service);
-        bool const has_failed = instance.ended_at >= instant || instance.affected_until >= instant;
+        bool const has_failed = instance.terminated_at >= instant || instance.affected_until >= instant;
         return is_involved && (has_failed || (is_moved && instance.corrupts_responses));
     });
 }
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -60,7 +60,7 @@
     /// When the store was updated with its leaving.
     std::optional<Instant> leaving_since;
     bool is_terminated { false };
-    Instant ended_at {};
+    Instant terminated_at {};
     /// Has been set to corrupt responses at some time; its next requests get these faults.
     bool corrupts_responses { false };
     Instant affected_until {};
