--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -257,7 +257,7 @@
     this->store.remove(servers_table, instance.id);
 }
 
-void Deployment::end_runner(RunnerInstance& instance)
+void Deployment::terminate_runner(RunnerInstance& instance)
 {
     instance.is_terminated = true;
     instance.terminated_at = now();
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -126,7 +126,7 @@
     void reject_all(RunnerInstance&, Duration back_off);
     static void accept_again(RunnerInstance&);
     /// Breaks its connections; its row stays.
-    void end_runner(RunnerInstance&);
+    void terminate_runner(RunnerInstance&);
     /// The backend servers of a service that accept work.
     [[nodiscard]] std::vector<RunnerInstance*> serving(std::string const& service);
 
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -385,7 +385,7 @@
         return;
     this->log_fault(instance->id + " crashes");
     this->deployment.mark_all_affected(entry_lifetime + aftermath);
-    this->deployment.end_runner(*instance);
+    this->deployment.terminate_runner(*instance);
     this->deployment.add_runner(instance->service, instance->domain);
     this->after(entry_lifetime, [this, instance] { this->deployment.remove_row(*instance); });
 }
@@ -394,7 +394,7 @@
 {
     this->after(time_left + this->draw_duration(0s, longest_overtime), [this, &instance] {
         this->deployment.remove_row(instance);
-        this->deployment.end_runner(instance);
+        this->deployment.terminate_runner(instance);
     });
 }
 
