--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -390,7 +390,7 @@
     this->after(entry_lifetime, [this, instance] { this->deployment.remove_row(*instance); });
 }
 
-void FaultSchedule::end_leaving(RunnerInstance& instance, Duration time_left)
+void FaultSchedule::schedule_termination(RunnerInstance& instance, Duration time_left)
 {
     this->after(time_left + this->draw_duration(0s, longest_overtime), [this, &instance] {
         this->deployment.remove_row(instance);
@@ -407,7 +407,7 @@
     auto time_left = Deployment::drain_time + this->draw_duration(0s, longest_extra_notice);
     this->deployment.add_runner(instance->service, instance->domain);
     this->deployment.drain(*instance, time_left);
-    this->end_leaving(*instance, time_left);
+    this->schedule_termination(*instance, time_left);
 }
 
 void FaultSchedule::unlist_runner()
@@ -418,7 +418,7 @@
     this->log_fault(instance->id + " goes off the list and serves on for a while");
     this->deployment.add_runner(instance->service, instance->domain);
     this->deployment.remove_row(*instance);
-    this->end_leaving(*instance, Deployment::drain_time);
+    this->schedule_termination(*instance, Deployment::drain_time);
 }
 
 void FaultSchedule::corrupt_responses()
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -75,7 +75,7 @@
     template<typename Link>
     Link& impair_link(HostInstance&, Link&, std::string const& what);
     void restart_later(HostInstance&);
-    void end_leaving(RunnerInstance&, Duration time_left);
+    void schedule_termination(RunnerInstance&, Duration time_left);
     /// Does nothing once heal() has been called.
     void after(Duration, std::function<void()>);
     [[nodiscard]] HostInstance& draw_host();
