--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -123,7 +123,7 @@
     return draw_between(this->random, shortest, longest);
 }
 
-Duration FaultSchedule::draw_fault_time() { return this->draw_duration(shortest_fault, longest_fault); }
+Duration FaultSchedule::draw_fault_duration() { return this->draw_duration(shortest_fault, longest_fault); }
 
 FaultProxy::Direction FaultSchedule::draw_direction()
 {
@@ -193,7 +193,7 @@
 void FaultSchedule::freeze_host()
 {
     auto& host = this->draw_host();
-    auto duration = this->draw_fault_time();
+    auto duration = this->draw_fault_duration();
     this->log_fault("freeze " + host.name);
     this->deployment.mark_affected(host, duration + aftermath);
     this->deployment.freeze_host(host, duration);
@@ -213,7 +213,7 @@
 
 void FaultSchedule::begin_platform_mode(StandIn::PlatformStore::Mode mode, std::string const& what)
 {
-    auto duration = this->draw_fault_time();
+    auto duration = this->draw_fault_duration();
     this->log_fault(what);
     this->deployment.mark_all_affected(duration + aftermath);
     this->deployment.store.set_mode(mode);
@@ -239,7 +239,7 @@
 
 void FaultSchedule::platform_stale()
 {
-    auto duration = this->draw_fault_time();
+    auto duration = this->draw_fault_duration();
     this->log_fault("the platform answers with an older state");
     this->deployment.mark_all_affected(duration + aftermath);
     this->deployment.store.set_behind(versions_behind);
@@ -251,7 +251,7 @@
     auto serving = this->deployment.serving(engine_service);
     if (serving.empty())
         return;
-    auto duration = this->draw_fault_time();
+    auto duration = this->draw_fault_duration();
     this->log_fault("the platform is away, and entries lapse meanwhile");
     this->deployment.mark_all_affected(duration + Deployment::list_recovery_time + aftermath);
     this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Silent);
@@ -280,7 +280,7 @@
 template<typename Link>
 Link& FaultSchedule::impair_link(HostInstance& host, Link& link, std::string const& what)
 {
-    auto duration = this->draw_fault_time();
+    auto duration = this->draw_fault_duration();
     this->log_fault(what);
     this->deployment.mark_affected(host, duration + aftermath);
     this->after(duration, [&link] { link.heal(); });
@@ -328,7 +328,7 @@
 void FaultSchedule::isolate_domain()
 {
     auto const domain = this->deployment.domain(this->draw_number(domain_draws));
-    auto duration = this->draw_fault_time();
+    auto duration = this->draw_fault_duration();
     this->log_fault(domain + " is cut off from the platform and the other hosts");
     for (auto& host : this->deployment.hosts) {
         if (host->domain != domain)
@@ -348,7 +348,7 @@
     auto* instance = this->draw_runner();
     if (!instance)
         return;
-    auto duration = this->draw_fault_time();
+    auto duration = this->draw_fault_duration();
     this->log_fault("the link to " + instance->id + " is harmed");
     this->deployment.mark_all_affected(duration + aftermath);
     instance->affected_until = std::max(instance->affected_until, Deployment::now() + duration + aftermath);
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -83,7 +83,7 @@
     [[nodiscard]] RunnerInstance* draw_runner();
     [[nodiscard]] u32 draw_number(u32 below);
     [[nodiscard]] Duration draw_duration(Duration shortest, Duration longest);
-    [[nodiscard]] Duration draw_fault_time();
+    [[nodiscard]] Duration draw_fault_duration();
     [[nodiscard]] FaultProxy::Direction draw_direction();
     void log_fault(std::string const& what) const;
 
