--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -159,14 +159,14 @@
     std::string const& runner, std::vector<std::string> const& attempts, bool is_exempt, Instant now)
 {
     std::set<std::string> const present(attempts.begin(), attempts.end());
-    for (auto& [attempt, runners] : this->running_since) {
+    for (auto& [attempt, runners] : this->first_seen_running) {
         if (!present.contains(attempt) || is_exempt)
             runners.erase(runner);
     }
     if (is_exempt)
         return;
     for (auto const& attempt : attempts) {
-        auto& runners = this->running_since[attempt];
+        auto& runners = this->first_seen_running[attempt];
         runners.try_emplace(runner, now);
         size_t const overlapping = static_cast<size_t>(
             std::ranges::count_if(runners, [&](auto const& entry) { return now - entry.second > tolerated_overlap; }));
@@ -175,7 +175,7 @@
             runners.clear();
         }
     }
-    std::erase_if(this->running_since, [](auto const& entry) { return entry.second.empty(); });
+    std::erase_if(this->first_seen_running, [](auto const& entry) { return entry.second.empty(); });
 }
 
 void PromiseChecker::check_probe_response(SentRequest const& request, u64 version, ObservedResponse const& response)
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -123,7 +123,7 @@
     /// Attempts whose connection a running host closed, with a description of what their callers saw.
     std::map<std::string, std::string> closed_by_host;
     /// When each engine was first seen running an attempt, by attempt and engine.
-    std::map<std::string, std::map<std::string, Instant>> running_since;
+    std::map<std::string, std::map<std::string, Instant>> first_seen_running;
     /// Versions whose route was served, by host and incarnation of its process.
     std::map<std::pair<std::string, u32>, std::set<u64>> served_probes;
     std::vector<std::string> found;
