--- a/Tests/Support/DescriptorLimit.h
+++ b/Tests/Support/DescriptorLimit.h
@@ -12,7 +12,7 @@
 
 namespace Test {
 
-/// The lowest number that a new descriptor of this process would get.
+/// The number that the next new descriptor of this process would get.
 inline u64 descriptors_in_use()
 {
     int const next = ::dup(STDOUT_FILENO);
@@ -20,7 +20,7 @@
     return static_cast<u64>(next);
 }
 
-/// While it lives, this process can open no descriptor of this number or a higher one.
+/// Prevents this process from opening descriptors numbered `limit` or higher during the lifetime of the object.
 class DescriptorLimit {
 public:
     explicit DescriptorLimit(u64 limit)
--- a/Tests/Support/Endpoints.h
+++ b/Tests/Support/Endpoints.h
@@ -13,9 +13,9 @@
 
 namespace Test {
 
-/// Ports of this process's own among those of tests that run beside it. Whoever holds the first port of a block, for as
-/// long as it lives, has the rest of it. They lie below those that the system hands to outgoing connections, which
-/// could take one between its choice and its use.
+/// A block of ports that no other test process uses. A process owns a block while it holds the block's first port. All
+/// blocks lie below the ephemeral ports, since an outgoing connection could get one of those between its choice and its
+/// use.
 class PortBlock {
 public:
     static constexpr unsigned ports = 500;
@@ -25,18 +25,18 @@
     {
         constexpr unsigned blocks = 40;
         for (unsigned i = 0; i < blocks; ++i) {
-            this->first = lowest_port + (static_cast<unsigned>(::getpid()) + i) % blocks * ports;
+            this->first = min_port + (static_cast<unsigned>(::getpid()) + i) % blocks * ports;
             if (this->hold_first())
                 return;
         }
-        throw std::runtime_error("no block of ports is free; end tests that still run");
+        throw std::runtime_error("no block of ports is free; stop tests that are still running");
     }
 
-    /// The ports in turn.
+    /// Returns the ports of the block in turn.
     [[nodiscard]] u16 next() { return static_cast<u16>(this->first + 1 + this->taken++ % (ports - 1)); }
 
 private:
-    static constexpr unsigned lowest_port = 10'000;
+    static constexpr unsigned min_port = 10'000;
 
     bool hold_first()
     {
@@ -54,7 +54,7 @@
     unsigned taken { 0 };
 };
 
-/// An address that nobody listens on.
+/// An address on which nothing listens.
 inline Http::tcp::endpoint free_endpoint()
 {
     static PortBlock block;
--- a/Tests/Support/LoopWait.h
+++ b/Tests/Support/LoopWait.h
@@ -12,26 +12,26 @@
 
 namespace Test {
 
-/// Runs the loop until `done`, and fails the test if that does not come about. The bound is generous: it is there to
-/// end a test that hangs, not to measure anything.
+/// Runs the event loop until `done` returns true, and fails the test if it does not within 20 s. The timeout is
+/// generous, since it only ends a test that hangs.
 template<typename Done>
 void run_until(boost::asio::io_context& loop, Done done)
 {
-    auto give_up_at = AK::BootClock::now() + std::chrono::seconds(20);
+    auto deadline = AK::BootClock::now() + std::chrono::seconds(20);
     while (!done()) {
         loop.restart();
         loop.run_one_for(std::chrono::milliseconds(10));
-        REQUIRE(AK::BootClock::now() < give_up_at);
+        REQUIRE(AK::BootClock::now() < deadline);
     }
 }
 
-/// Passes time in which the loop under test does nothing, as when its process gets no processor.
+/// Blocks without running the event loop under test, as when its process gets no CPU time.
 inline void stall_for(AK::BootClock::duration duration)
 {
-    boost::asio::io_context other;
-    AK::Timer timer(other, duration);
+    boost::asio::io_context waiting_loop;
+    AK::Timer timer(waiting_loop, duration);
     timer.async_wait([](boost::system::error_code) {});
-    other.run();
+    waiting_loop.run();
 }
 
 }
--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -14,9 +14,9 @@
 static constexpr int first_router_port = 7300;
 static constexpr int first_gateway_port = 7100;
 static constexpr int operator_port = 7500;
-static constexpr int elsewhere_port = 7600;
+static constexpr int remote_port = 7600;
 
-/// An address of the loopback network that is this process's own, so that fixed ports never meet another's.
+/// A loopback address that only this process uses, so that its fixed ports never conflict with another process's.
 static std::string own_host()
 {
     auto pid = static_cast<unsigned>(getpid());
@@ -47,23 +47,23 @@
     return this->changes;
 }
 
-bool ChangeSignal::wait_for_change(u64 seen, Instant give_up_at)
+bool ChangeSignal::wait_for_change(u64 seen, Instant deadline)
 {
     std::unique_lock lock(this->mutex);
-    return this->changed.wait_until(lock, give_up_at, [&] { return this->changes != seen; });
+    return this->changed.wait_until(lock, deadline, [&] { return this->changes != seen; });
 }
 
 void wait_until(std::string const& what, std::function<bool()> const& condition)
 {
     auto& signal = ChangeSignal::instance();
-    auto give_up_at = AK::BootClock::now() + 60s;
+    auto deadline = AK::BootClock::now() + 60s;
     while (true) {
-        // Counted before looking, so that nothing that happens in between is missed.
+        // Read before checking, so that a change in between is not missed.
         auto seen = signal.count();
         if (condition())
             return;
         INFO("waiting for " << what);
-        REQUIRE(signal.wait_for_change(seen, give_up_at));
+        REQUIRE(signal.wait_for_change(seen, deadline));
     }
 }
 
@@ -142,7 +142,7 @@
 
 TestFleet::~TestFleet()
 {
-    // Edge threads wait for their loops, so the callers' side goes first, while the engines still answer.
+    // Caller-facing threads wait for their event loops, so gateways stop first, while the engines still respond.
     this->gateways.clear();
     this->operator_server.reset();
     this->routers.clear();
@@ -186,7 +186,7 @@
 
 std::unique_ptr<TestRouter> TestFleet::start_remote_router() const
 {
-    auto settings = this->node_settings("router-elsewhere", elsewhere_port, wire::ROLE_ROUTER);
+    auto settings = this->node_settings("router-elsewhere", remote_port, wire::ROLE_ROUTER);
     settings.failure_domain = FailureDomainId("hall-b");
     settings.peers.clear();
     settings.remote_peers = { own_address(first_router_port) };
--- a/Tests/Support/TestFleet.h
+++ b/Tests/Support/TestFleet.h
@@ -22,14 +22,14 @@
 #include <thread>
 #include <vector>
 
-/// Tells the tests' threads that something has happened: an event, a member, a revision, a token. Only ever grows.
+/// Notifies the test threads of changes: an event, a member, a revision, a token. The count only grows.
 class ChangeSignal {
 public:
     static ChangeSignal& instance();
     void notify();
     [[nodiscard]] u64 count();
-    /// Waits until count() differs from `seen`. Says whether it did before `give_up_at`.
-    bool wait_for_change(u64 seen, Instant give_up_at);
+    /// Waits until count() differs from `seen`. Returns whether it did before `deadline`.
+    bool wait_for_change(u64 seen, Instant deadline);
 
 private:
     std::mutex mutex;
@@ -37,19 +37,19 @@
     u64 changes { 0 };
 };
 
-/// One daemon's node with its loop on a thread of its own.
-template<typename Settings, typename Part>
+/// A daemon's node, with its event loop on a thread of its own.
+template<typename Settings, typename Component>
 struct TestDaemon {
-    TestDaemon(Settings daemon_settings, std::function<std::unique_ptr<Part>(Node::Node&, Settings const&)> make)
+    TestDaemon(Settings daemon_settings, std::function<std::unique_ptr<Component>(Node::Node&, Settings const&)> make)
         : settings(std::move(daemon_settings))
         , node(std::make_unique<Node::Node>(this->settings.node))
-        , part(make(*this->node, this->settings))
+        , component(make(*this->node, this->settings))
     {
-        auto tell = [] { ChangeSignal::instance().notify(); };
-        this->node->events().on_record(tell);
-        this->node->on_members(tell);
-        this->node->on_revision(tell);
-        this->node->on_backend_servers(tell);
+        auto notify = [] { ChangeSignal::instance().notify(); };
+        this->node->events().on_record(notify);
+        this->node->on_members(notify);
+        this->node->on_revision(notify);
+        this->node->on_backend_servers(notify);
         this->node->start();
         this->thread = std::thread([this] { this->node->loop().run(); });
     }
@@ -60,18 +60,18 @@
         this->thread.join();
     }
 
-    /// Runs `ask` on the loop and returns its result.
-    template<typename Ask>
-    auto on_loop(Ask ask)
+    /// Runs `function` on the event loop and returns its result.
+    template<typename Function>
+    auto on_loop(Function function)
     {
-        std::promise<decltype(ask())> promise;
-        this->node->loop().post([&] { promise.set_value(ask()); });
+        std::promise<decltype(function())> promise;
+        this->node->loop().post([&] { promise.set_value(function()); });
         return promise.get_future().get();
     }
 
     Settings settings;
     std::unique_ptr<Node::Node> node;
-    std::unique_ptr<Part> component;
+    std::unique_ptr<Component> component;
     std::thread thread;
 };
 
@@ -86,8 +86,8 @@
     Gateway::CallerFrontend frontend;
 };
 
-/// A failure domain in one process, on real sockets, with the stand-ins. Faults are brought about by calls; what is to
-/// be waited for is waited for by its condition.
+/// A failure domain in one process, on real sockets, with the stand-ins. Tests inject faults by calls and wait for
+/// conditions, not for times.
 class TestFleet {
 public:
     struct Size {
@@ -102,24 +102,24 @@
     explicit TestFleet(Size);
     ~TestFleet();
 
-    /// With TLS when `is_secure`, by the test-only certificate in Tests/Data.
+    /// Uses TLS with the test-only certificate in Tests/Data if `is_secure` is set.
     void start_gateway(size_t number, bool is_secure = false);
     void start_router(size_t number);
-    /// A router of another failure domain, which knows the first router of this one.
+    /// Starts a router of another failure domain that knows the first router of this one.
     std::unique_ptr<TestRouter> start_remote_router() const;
     void start_operator(bool is_secure = false);
     [[nodiscard]] Address operator_address() const;
-    /// As a host that vanishes: the process is gone without a word.
+    /// Terminates a router without notice, as when its host crashes.
     void kill_router(size_t number) { this->routers[number].reset(); }
-    /// The router that owns the pool, by the view of the first gateway; the number of routers when there is none.
+    /// Index of the router that owns the pool in the first gateway's view; the number of routers if there is none.
     size_t owner();
 
     void apply(std::string const& change_json);
     void publish_hosts();
     CallerClient caller(std::string const& key = "toll-key") const;
-    /// Runs that many generations at once and returns what their callers saw.
+    /// Runs `count` generations concurrently and returns what their callers saw.
     std::vector<GenerationResult> generate(size_t count, int tokens, std::function<void()> const& meanwhile = {});
-    /// The whole history so far of the engines and services, and of these callers.
+    /// The history so far of all engines and services, and of these callers.
     History::Record record(std::vector<GenerationResult> const&) const;
 
     std::unique_ptr<StandIns::FakePlatform> platform;
@@ -135,7 +135,7 @@
     Size size;
 };
 
-/// Waits until `condition` holds, looking again each time ChangeSignal tells of something; fails the test when it does
-/// not hold within a minute.
+/// Waits until `condition` holds, checking it again on each change of ChangeSignal. Fails the test if it does not hold
+/// within a minute.
 void wait_until(std::string const& what, std::function<bool()> const& condition);
 std::string describe(std::vector<History::Violation> const&);
--- a/Tests/Support/TestMain.cpp
+++ b/Tests/Support/TestMain.cpp
@@ -12,7 +12,7 @@
 
 int main(int argc, char** argv)
 {
-    // The same cases on every run; a failure prints how to run its case alone.
+    // A fixed seed gives the same cases on every run; a failure prints how to rerun its case alone.
     setenv("RC_PARAMS", "seed=20261202", 0);
     std::signal(SIGPIPE, SIG_IGN);
     FLAGS_logtostderr = true;
