--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -53,7 +53,7 @@
     };
     auto add = [&kinds](std::initializer_list<Begin> more) { kinds.insert(kinds.end(), more); };
     // Five times, so that spoiled answers are as likely as all planned work.
-    if (mix == Mix::Answers)
+    if (mix == Mix::Responses)
         add({ &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses,
             &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses, &FaultSchedule::crash_runner,
             &FaultSchedule::reset_runner_link });
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -36,7 +36,7 @@
         /// Planned work only: stops, changes of settings and configuration, backend servers that leave.
         Planned,
         /// And backend servers that crash, break connections or spoil answers.
-        Answers,
+        Responses,
         Everything,
     };
     static constexpr u32 mix_count = 3;
@@ -71,7 +71,7 @@
     void corrupt_responses();
 
     void begin_platform_mode(StandIn::PlatformStore::Mode, std::string const& what);
-    /// Answers the link, which the caller harms; it heals by itself.
+    /// Responses the link, which the caller harms; it heals by itself.
     template<typename Link>
     Link& impair_link(HostInstance&, Link&, std::string const& what);
     void restart_later(HostInstance&);
