--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -90,7 +90,7 @@
 {
     if (host.daemon->is_running())
         return;
-    host.is_end_expected = false;
+    host.is_exit_expected = false;
     host.was_killed = false;
     host.stopping_since.reset();
     this->notices.host_started(host.name);
@@ -99,7 +99,7 @@
 
 void Deployment::kill_host(HostInstance& host)
 {
-    host.is_end_expected = true;
+    host.is_exit_expected = true;
     host.was_killed = true;
     host.daemon->send_signal(SIGKILL);
 }
@@ -119,7 +119,7 @@
 
 void Deployment::stop_host(HostInstance& host)
 {
-    host.is_end_expected = true;
+    host.is_exit_expected = true;
     host.stopping_since = now();
     host.daemon->send_signal(SIGTERM);
 }
@@ -338,7 +338,7 @@
         }
         return;
     }
-    if (!host.is_end_expected)
+    if (!host.is_exit_expected)
         this->checker.violation(host.name + " exited unexpectedly, with status " + std::to_string(*status));
     if (host.stopping_since && !(WIFEXITED(*status) && WEXITSTATUS(*status) == 0) && !WIFSIGNALED(*status))
         this->checker.violation(host.name + " exited from its planned stop with status " + std::to_string(*status));
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -34,7 +34,7 @@
     /// Start of the planned stop in progress.
     std::optional<Instant> stopping_since;
     /// The soak itself terminates the process or keeps it down, so that its exit is no violation.
-    bool is_end_expected { false };
+    bool is_exit_expected { false };
     /// The soak has killed the current incarnation of the process.
     bool was_killed { false };
     Instant frozen_until {};
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -140,7 +140,7 @@
         // A process whose planned stop is under way ends first.
         this->wait_until([&] { return !host.stopping_since || !host.daemon->is_running(); }, stop_patience,
             "the end of " + host.name);
-        this->wait_until([&] { return !host.is_end_expected || !host.daemon->is_running(); }, stop_patience,
+        this->wait_until([&] { return !host.is_exit_expected || !host.daemon->is_running(); }, stop_patience,
             "the end of " + host.name);
         this->deployment.start_host(host);
     }
