--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -11,30 +11,28 @@
 
 namespace Soak {
 
-/// Stalls of one host after another: about its idle time-out, so that the ends of its timers and the requests of its
-/// callers wait for it together. Pauses between their beginnings are chosen; of four hosts each has a stall
-/// about every 3.6 s (reckoned).
-static constexpr Duration shortest_stall = idle_timeout / 2;
-static constexpr Duration longest_stall = idle_timeout * 3 / 2;
-static constexpr Duration shortest_stall_pause = 300ms;
-static constexpr Duration longest_stall_pause = 1500ms;
-/// Backend servers that turn all away: for how long, what they ask for, and that all of a service do so one time in so
-/// many.
-static constexpr Duration shortest_turning_away = 100ms;
-static constexpr Duration longest_turning_away = 500ms;
-static constexpr Duration shortest_back_off_asked = 1s;
-static constexpr Duration longest_back_off_asked = 6s;
-static constexpr u32 services_that_ask_as_a_whole = 6;
+/// Stalls last about as long as the hosts' idle timeout, so that a stalled host finds expired timers and callers'
+/// requests waiting together. With four hosts, each one stalls about every 3.6 s (computed).
+static constexpr Duration min_stall = idle_timeout / 2;
+static constexpr Duration max_stall = idle_timeout * 3 / 2;
+static constexpr Duration min_fault_interval = 300ms;
+static constexpr Duration max_fault_interval = 1500ms;
+/// For how long backend servers reject all requests, and the back-off that they request. One time in
+/// `whole_service_odds`, all servers of the service do so.
+static constexpr Duration min_rejection_time = 100ms;
+static constexpr Duration max_rejection_time = 500ms;
+static constexpr Duration min_back_off = 1s;
+static constexpr Duration max_back_off = 6s;
+static constexpr u32 whole_service_odds = 6;
 
 u32 draw_below(boost::random::mt19937& random, u32 below)
 {
     return boost::random::uniform_int_distribution<u32>(0, below - 1)(random);
 }
 
-Duration draw_between(boost::random::mt19937& random, Duration shortest, Duration longest)
+Duration draw_between(boost::random::mt19937& random, Duration min, Duration max)
 {
-    boost::random::uniform_int_distribution<i64> milliseconds(
-        AK::to_milliseconds(shortest), AK::to_milliseconds(longest));
+    boost::random::uniform_int_distribution<i64> milliseconds(AK::to_milliseconds(min), AK::to_milliseconds(max));
     return std::chrono::milliseconds(milliseconds(random));
 }
 
@@ -79,10 +77,10 @@
 {
     auto& hosts = this->deployment.hosts;
     auto const number = draw_below(this->stall_random, static_cast<u32>(hosts.size()));
-    auto const duration = draw_between(this->stall_random, shortest_stall, longest_stall);
+    auto const duration = draw_between(this->stall_random, min_stall, max_stall);
     this->deployment.freeze_host(*hosts.at(number), duration);
     this->after(
-        draw_between(this->stall_random, shortest_stall_pause, longest_stall_pause), [this] { this->stall_hosts(); });
+        draw_between(this->stall_random, min_fault_interval, max_fault_interval), [this] { this->stall_hosts(); });
 }
 
 void BackgroundFaults::corrupt_entries()
@@ -91,18 +89,18 @@
         R"({"service":7,"addr":[],"zone":null,"slots":1e300,"state":"ready","cold_left_ms":-1,"born":1.5})",
         R"({"service":"models","addr":"nowhere","zone":"","slots":0,"state":"resting","cold_left_ms":0})", "\xff\xfe" };
     this->restore_entry();
-    std::vector<RunnerInstance*> living;
+    std::vector<RunnerInstance*> running;
     for (auto& instance : this->deployment.runners) {
         if (!instance.is_terminated && !instance.leaving_since)
-            living.push_back(&instance);
+            running.push_back(&instance);
     }
     auto const value = values.at(draw_below(this->entry_random, values.size()));
-    if (!living.empty()) {
-        this->corrupted_server = living.at(draw_below(this->entry_random, static_cast<u32>(living.size())));
+    if (!running.empty()) {
+        this->corrupted_server = running.at(draw_below(this->entry_random, static_cast<u32>(running.size())));
         this->deployment.put_entry(*this->corrupted_server, std::string(value));
     }
-    this->after(draw_between(this->entry_random, shortest_stall_pause, longest_stall_pause),
-        [this] { this->corrupt_entries(); });
+    this->after(
+        draw_between(this->entry_random, min_fault_interval, max_fault_interval), [this] { this->corrupt_entries(); });
 }
 
 void BackgroundFaults::restore_entry()
@@ -114,32 +112,31 @@
 
 void BackgroundFaults::advertise_limits()
 {
-    constexpr u32 lowest = 1;
-    constexpr u32 rates = 2;
-    bool const is_over_there
+    constexpr u32 min_rate = 1;
+    constexpr u32 rate_count = 2;
+    bool const is_limited_server_leaving
         = this->limited_server && (this->limited_server->is_terminated || this->limited_server->leaving_since);
     auto const serving = this->deployment.serving(plain_service);
-    if ((!this->limited_server || is_over_there) && serving.size() >= min_serving) {
+    if ((!this->limited_server || is_limited_server_leaving) && serving.size() >= min_serving) {
         this->limited_server = serving.at(draw_below(this->limit_random, static_cast<u32>(serving.size())));
-        Deployment::advertise_limit(*this->limited_server, lowest + draw_below(this->limit_random, rates));
+        Deployment::advertise_limit(*this->limited_server, min_rate + draw_below(this->limit_random, rate_count));
     }
-    this->after(shortest_stall_pause, [this] { this->advertise_limits(); });
+    this->after(min_fault_interval, [this] { this->advertise_limits(); });
 }
 
 void BackgroundFaults::request_back_off()
 {
     auto const* service = draw_below(this->back_off_random, 2) == 0 ? plain_service : engine_service;
-    auto asking = this->deployment.serving(service);
-    bool const all_ask = draw_below(this->back_off_random, services_that_ask_as_a_whole) == 0;
-    if (!all_ask && !asking.empty())
-        asking = { asking.at(draw_below(this->back_off_random, static_cast<u32>(asking.size()))) };
-    for (auto* instance : asking) {
-        this->deployment.reject_all(
-            *instance, draw_between(this->back_off_random, shortest_back_off_asked, longest_back_off_asked));
-        this->after(draw_between(this->back_off_random, shortest_turning_away, longest_turning_away),
+    auto backing_off = this->deployment.serving(service);
+    bool const all_back_off = draw_below(this->back_off_random, whole_service_odds) == 0;
+    if (!all_back_off && !backing_off.empty())
+        backing_off = { backing_off.at(draw_below(this->back_off_random, static_cast<u32>(backing_off.size()))) };
+    for (auto* instance : backing_off) {
+        this->deployment.reject_all(*instance, draw_between(this->back_off_random, min_back_off, max_back_off));
+        this->after(draw_between(this->back_off_random, min_rejection_time, max_rejection_time),
             [instance] { Deployment::accept_again(*instance); });
     }
-    this->after(draw_between(this->back_off_random, shortest_stall_pause, longest_stall_pause),
+    this->after(draw_between(this->back_off_random, min_fault_interval, max_fault_interval),
         [this] { this->request_back_off(); });
 }
 
--- a/Tests/Soak/BackgroundFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -10,16 +10,15 @@
 
 namespace Soak {
 
-/// A service keeps at least so many backend servers that take work.
+/// A service keeps at least this many backend servers that accept work.
 inline constexpr size_t min_serving = 2;
 
-/// A number from 0 to below `below`.
+/// A uniform number in [0, below).
 u32 draw_below(boost::random::mt19937&, u32 below);
-Duration draw_between(boost::random::mt19937&, Duration shortest, Duration longest);
+Duration draw_between(boost::random::mt19937&, Duration min, Duration max);
 
-/// What goes on from the start of a seed's faults to their end, beside those that are drawn for times of their own.
-/// None of it excuses a host anything. Each kind draws from numbers of its own, so that a seed's other faults do not
-/// depend on it.
+/// Faults that recur from the start of a seed's faults to their end, beside the scheduled ones. They exempt no host
+/// from any check. Each kind has a random generator of its own, so that a seed's other faults do not depend on it.
 class BackgroundFaults {
 public:
     BackgroundFaults(Http::asio::io_context&, Deployment&, u32 seed);
@@ -28,16 +27,16 @@
     void end();
 
 private:
-    /// Halts one host after another for a moment, all the time. It is no harm and excuses nothing.
+    /// Repeatedly halts a random host for a moment. This does not mark the host as affected by a fault.
     void stall_hosts();
-    /// Another writer spoils the entry of one backend server after another, all the time. The server lives
-    /// on, so that it is no harm either.
+    /// Repeatedly overwrites the entry of a random backend server, as another writer could. The server keeps running,
+    /// so that this does not mark it as affected by a fault either.
     void corrupt_entries();
     void restore_entry();
-    /// Backend servers turn all away for a moment and ask for back-off, all the time: one or all of a
-    /// service, so that such times overlap.
+    /// Repeatedly lets one or all backend servers of a service reject all requests for a moment and request back-off.
+    /// Back-off times may overlap.
     void request_back_off();
-    /// One plain server at a time names a limit, all the time; others serve what it does not take.
+    /// Keeps one plain server at a time advertising a limit; the others serve the requests beyond it.
     void advertise_limits();
     /// Does nothing once end() has been called.
     void after(Duration, std::function<void()>);
@@ -48,9 +47,9 @@
     boost::random::mt19937 entry_random;
     boost::random::mt19937 limit_random;
     boost::random::mt19937 back_off_random;
-    /// Whose entry is spoilt just now.
+    /// The server whose entry is currently corrupted, if any.
     RunnerInstance* corrupted_server { nullptr };
-    /// Who names a limit just now.
+    /// The server that currently advertises a limit, if any.
     RunnerInstance* limited_server { nullptr };
     bool is_over { false };
 };
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -14,32 +14,32 @@
 
 using Fault = StandIn::PlatformRunner::Fault;
 
-static constexpr Duration shortest_fault = 300ms;
-static constexpr Duration longest_fault = 4s;
+static constexpr Duration min_fault_duration = 300ms;
+static constexpr Duration max_fault_duration = 4s;
 /// After SIGTERM: `load_balancer_delay` of Libraries/LibServing/PlannedStop.cpp.
 static constexpr Duration idle_close_delay = 2500ms;
-/// Between a process's end and its next start.
-static constexpr Duration longest_restart_delay = 1500ms;
-/// Until the platform takes the entry of a crashed backend server off its list.
+/// Between a process's exit and its next start.
+static constexpr Duration max_restart_delay = 1500ms;
+/// Until the platform removes the entry of a crashed backend server from its list.
 static constexpr Duration entry_lifetime = 1200ms;
-/// How much longer than its notice a backend server that leaves may go on.
-static constexpr Duration longest_overtime = 6s;
-static constexpr u32 most_spoiled_answers = 6;
-/// After a change of the configuration, so that hosts are killed at different points of taking it.
-static constexpr Duration longest_kill_delay = 50ms;
-/// Versions of its table that a platform that is behind has not yet seen.
+/// A leaving backend server may run for up to this long after the end of its notice.
+static constexpr Duration max_overtime = 6s;
+static constexpr u32 max_corrupted_responses = 6;
+/// Bound on the delay after a change of the configuration, so that hosts are killed at different points of applying it.
+static constexpr Duration max_kill_delay = 50ms;
+/// The most recent versions of its table that a stale platform has not seen.
 static constexpr u64 versions_behind = 2;
-/// Delays of each piece of bytes, chosen, not measured: all are shorter than Deployment::list_recovery_time.
-static constexpr Duration shortest_link_delay = 20ms;
-static constexpr Duration longest_host_link_delay = 700ms;
-static constexpr Duration longest_runner_link_delay = 500ms;
+/// Delays of each chunk of bytes. All are shorter than Deployment::list_recovery_time.
+static constexpr Duration min_link_delay = 20ms;
+static constexpr Duration max_host_link_delay = 700ms;
+static constexpr Duration max_runner_link_delay = 500ms;
 /// Added to the drain time, so that notices differ.
-static constexpr Duration longest_extra_notice = 1s;
+static constexpr Duration max_extra_notice = 1s;
 /// Values of the setting `retries.ratio`.
 static constexpr std::array retry_ratios { 0.1, 0.2, 0.3 };
-/// One in so many faults of backend servers is drawn for the plain service, the others for engines.
+/// One in this many faults of backend servers is drawn for the plain service, the others for engines.
 static constexpr u32 draws_per_plain_server = 3;
-/// A multiple of the usual counts of failure domains, so that they are drawn evenly.
+/// A multiple of the usual numbers of failure domains, so that each domain is equally likely.
 static constexpr u32 domain_draws = 16;
 
 std::vector<FaultSchedule::Begin> FaultSchedule::kinds_of(Mix mix)
@@ -52,7 +52,7 @@
         &FaultSchedule::unlist_runner,
     };
     auto add = [&kinds](std::initializer_list<Begin> more) { kinds.insert(kinds.end(), more); };
-    // Five times, so that spoiled answers are as likely as all planned work.
+    // Added five times, so that corrupted responses are as likely as all planned work.
     if (mix == Mix::Responses)
         add({ &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses,
             &FaultSchedule::corrupt_responses, &FaultSchedule::corrupt_responses, &FaultSchedule::crash_runner,
@@ -118,12 +118,9 @@
 
 u32 FaultSchedule::draw_number(u32 below) { return draw_below(this->random, below); }
 
-Duration FaultSchedule::draw_duration(Duration shortest, Duration longest)
-{
-    return draw_between(this->random, shortest, longest);
-}
+Duration FaultSchedule::draw_duration(Duration min, Duration max) { return draw_between(this->random, min, max); }
 
-Duration FaultSchedule::draw_fault_duration() { return this->draw_duration(shortest_fault, longest_fault); }
+Duration FaultSchedule::draw_fault_duration() { return this->draw_duration(min_fault_duration, max_fault_duration); }
 
 FaultProxy::Direction FaultSchedule::draw_direction()
 {
@@ -149,7 +146,7 @@
 
 void FaultSchedule::restart_later(HostInstance& host)
 {
-    auto delay = this->draw_duration(shortest_fault, longest_restart_delay);
+    auto delay = this->draw_duration(min_fault_duration, max_restart_delay);
     this->deployment.mark_affected(host, delay + aftermath);
     this->after(delay, [this, &host] { this->deployment.start_host(host); });
 }
@@ -164,10 +161,10 @@
 
 void FaultSchedule::kill_all_after_change()
 {
-    this->log_fault("the configuration changes, and all hosts are killed");
+    this->log_fault("the configuration changes and all hosts are killed");
     this->deployment.put_configuration();
-    this->deployment.mark_all_affected(longest_restart_delay + aftermath);
-    this->after(this->draw_duration(0s, longest_kill_delay), [this] {
+    this->deployment.mark_all_affected(max_restart_delay + aftermath);
+    this->after(this->draw_duration(0s, max_kill_delay), [this] {
         for (auto& host : this->deployment.hosts) {
             this->deployment.kill_host(*host);
             this->restart_later(*host);
@@ -182,10 +179,10 @@
         return;
     this->log_fault("planned stop of " + host.name);
     this->deployment.stop_host(host);
-    // Started again by the time its grace is over; its end does no harm in itself.
-    auto delay = Deployment::stop_grace + this->draw_duration(shortest_fault, longest_restart_delay);
+    // It is started again after its stop grace. Its exit alone does not mark it as affected by a fault.
+    auto delay = Deployment::stop_grace + this->draw_duration(min_fault_duration, max_restart_delay);
     this->after(delay, [this, &host] { this->deployment.start_host(host); });
-    // Requests then wait for the host when it looks for connections to close.
+    // Requests are then waiting for the host when it looks for idle connections to close.
     this->after(
         idle_close_delay - idle_timeout / 2, [this, &host] { this->deployment.freeze_host(host, idle_timeout); });
 }
@@ -202,9 +199,9 @@
 void FaultSchedule::reload_host()
 {
     auto& host = this->draw_host();
-    this->log_fault("changed settings of " + host.name);
+    this->log_fault("change the settings of " + host.name);
     this->deployment.write_settings(host, retry_ratios.at(this->draw_number(static_cast<u32>(retry_ratios.size()))));
-    // A process that has not yet come up would be ended by the signal.
+    // The signal would terminate a process that is still starting.
     if (Deployment::is_unaffected_since(host, Deployment::now()))
         host.daemon->send_signal(SIGHUP);
 }
@@ -222,7 +219,7 @@
 
 void FaultSchedule::platform_busy()
 {
-    this->begin_platform_mode(StandIn::PlatformStore::Mode::Busy, "the platform refuses all calls");
+    this->begin_platform_mode(StandIn::PlatformStore::Mode::Busy, "the platform rejects all calls");
 }
 
 void FaultSchedule::platform_silent()
@@ -232,7 +229,7 @@
 
 void FaultSchedule::platform_loses_history()
 {
-    this->log_fault("the platform forgets its history");
+    this->log_fault("the platform loses its history");
     this->deployment.mark_all_affected(aftermath);
     this->deployment.store.forget_history();
 }
@@ -240,7 +237,7 @@
 void FaultSchedule::platform_stale()
 {
     auto duration = this->draw_fault_duration();
-    this->log_fault("the platform answers with an older state");
+    this->log_fault("the platform returns an older state");
     this->deployment.mark_all_affected(duration + aftermath);
     this->deployment.store.set_behind(versions_behind);
     this->after(duration, [this] { this->deployment.store.set_behind(0); });
@@ -252,7 +249,7 @@
     if (serving.empty())
         return;
     auto duration = this->draw_fault_duration();
-    this->log_fault("the platform is away, and entries lapse meanwhile");
+    this->log_fault("the platform is unavailable, and entries expire meanwhile");
     this->deployment.mark_all_affected(duration + Deployment::list_recovery_time + aftermath);
     this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Silent);
     for (auto* instance : serving)
@@ -290,7 +287,8 @@
 void FaultSchedule::block_platform_link()
 {
     auto& host = this->draw_host();
-    auto& link = this->impair_link(host, *host.platform_link, host.name + " is cut off from the platform one way");
+    auto& link = this->impair_link(
+        host, *host.platform_link, host.name + " is partitioned from the platform in one direction");
     link.hold(this->draw_direction());
 }
 
@@ -298,7 +296,7 @@
 {
     auto& host = this->draw_host();
     auto& link = this->impair_link(host, *host.platform_link, "a slow link from " + host.name + " to the platform");
-    link.set_delay(this->draw_duration(shortest_link_delay, longest_host_link_delay));
+    link.set_delay(this->draw_duration(min_link_delay, max_host_link_delay));
 }
 
 void FaultSchedule::reset_platform_link()
@@ -312,7 +310,8 @@
 void FaultSchedule::block_peer_link()
 {
     auto& host = this->draw_host();
-    auto& link = this->impair_link(host, *host.peer_link, "nothing of the other hosts reaches " + host.name);
+    auto& link
+        = this->impair_link(host, *host.peer_link, "all messages of the other hosts to " + host.name + " are dropped");
     link.hold_all();
 }
 
@@ -320,25 +319,25 @@
 {
     auto& host = this->draw_host();
     auto& link = this->impair_link(host, *host.peer_link, "slow and lossy links from the other hosts to " + host.name);
-    // Three times the share of packets that are lost on the worst days known (2.5 in 100).
+    // Three times the loss rate of the worst days known (2.5 %).
     constexpr u32 drop_one_in = 13;
-    link.set_slow_and_lossy(this->draw_duration(shortest_link_delay, longest_host_link_delay), drop_one_in);
+    link.set_slow_and_lossy(this->draw_duration(min_link_delay, max_host_link_delay), drop_one_in);
 }
 
 void FaultSchedule::isolate_domain()
 {
     auto const domain = this->deployment.domain(this->draw_number(domain_draws));
     auto duration = this->draw_fault_duration();
-    this->log_fault(domain + " is cut off from the platform and the other hosts");
+    this->log_fault(domain + " is partitioned from the platform and the other hosts");
     for (auto& host : this->deployment.hosts) {
         if (host->domain != domain)
             continue;
         this->deployment.mark_affected(*host, duration + aftermath);
         host->platform_link->hold_all();
         host->peer_link->hold_all();
-        this->after(duration, [instance = host.get()] {
-            instance->platform_link->heal();
-            instance->peer_link->heal();
+        this->after(duration, [affected = host.get()] {
+            affected->platform_link->heal();
+            affected->peer_link->heal();
         });
     }
 }
@@ -349,12 +348,12 @@
     if (!instance)
         return;
     auto duration = this->draw_fault_duration();
-    this->log_fault("the link to " + instance->id + " is harmed");
+    this->log_fault("the link to " + instance->id + " is impaired");
     this->deployment.mark_all_affected(duration + aftermath);
     instance->affected_until = std::max(instance->affected_until, Deployment::now() + duration + aftermath);
     switch (this->draw_number(3)) {
     case 0:
-        instance->link->set_delay(this->draw_duration(shortest_link_delay, longest_runner_link_delay));
+        instance->link->set_delay(this->draw_duration(min_link_delay, max_runner_link_delay));
         break;
     case 1:
         instance->link->hold(this->draw_direction());
@@ -392,7 +391,7 @@
 
 void FaultSchedule::schedule_termination(RunnerInstance& instance, Duration time_left)
 {
-    this->after(time_left + this->draw_duration(0s, longest_overtime), [this, &instance] {
+    this->after(time_left + this->draw_duration(0s, max_overtime), [this, &instance] {
         this->deployment.remove_row(instance);
         this->deployment.terminate_runner(instance);
     });
@@ -404,7 +403,7 @@
     if (!instance)
         return;
     this->log_fault(instance->id + " drains");
-    auto time_left = Deployment::drain_time + this->draw_duration(0s, longest_extra_notice);
+    auto time_left = Deployment::drain_time + this->draw_duration(0s, max_extra_notice);
     this->deployment.add_runner(instance->service, instance->domain);
     this->deployment.drain(*instance, time_left);
     this->schedule_termination(*instance, time_left);
@@ -415,7 +414,7 @@
     auto* instance = this->draw_runner();
     if (!instance)
         return;
-    this->log_fault(instance->id + " goes off the list and serves on for a while");
+    this->log_fault(instance->id + " is removed from the list and keeps serving for a while");
     this->deployment.add_runner(instance->service, instance->domain);
     this->deployment.remove_row(*instance);
     this->schedule_termination(*instance, Deployment::drain_time);
@@ -428,11 +427,11 @@
     auto* instance = this->draw_runner();
     if (!instance)
         return;
-    this->log_fault(instance->id + " spoils answers");
+    this->log_fault(instance->id + " corrupts responses");
     this->deployment.mark_all_affected(aftermath);
     instance->corrupts_responses = true;
-    // The end is drawn anew each time: two to four in a row are likelier than one or six.
-    for (u32 i = 0; i <= this->draw_number(most_spoiled_answers); ++i)
+    // The bound is drawn again on each iteration, which makes two to four faults likelier than one or six.
+    for (u32 i = 0; i <= this->draw_number(max_corrupted_responses); ++i)
         instance->runner->add_fault(faults.at(this->draw_number(static_cast<u32>(faults.size()))));
 }
 
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -10,17 +10,17 @@
 
 namespace Soak {
 
-/// A seed's faults: drawn at the start, begun at their times, overlapping as they come. Every fault ends by itself, and
-/// says for how long it may be felt where.
+/// The faults of a seed, all drawn in advance. Each begins at its own time, so that faults may overlap, ends by itself,
+/// and marks the hosts and servers that it may affect, and for how long.
 class FaultSchedule {
 public:
     /// Draws `count` faults that begin within `length` of start().
     FaultSchedule(Http::asio::io_context&, Deployment&, u32 seed, u32 count, Duration length);
 
     void start();
-    /// Ends all faults that go on, and begins no more.
+    /// Ends all current faults and begins no further ones.
     void heal();
-    /// For how long after its end a fault may still be felt; chosen, with room for a busy machine.
+    /// A fault may have effects for this long after its end, on a busy machine.
     static constexpr Duration aftermath = 5s;
 
 private:
@@ -30,32 +30,32 @@
         Begin begin { nullptr };
     };
 
-    /// What a seed draws from; stalls come with each. The fewer things are harmed, the more of the checks that ask for
-    /// calm apply.
+    /// The kinds of faults that a seed draws from; each mix also has the background faults. The less a mix affects, the
+    /// more of the checks that need an unaffected host apply.
     enum class Mix : u8 {
         /// Planned work only: stops, changes of settings and configuration, backend servers that leave.
         Planned,
-        /// And backend servers that crash, break connections or spoil answers.
+        /// Also backend servers that crash, break connections or corrupt responses.
         Responses,
         Everything,
     };
     static constexpr u32 mix_count = 3;
     [[nodiscard]] static std::vector<Begin> kinds_of(Mix);
 
-    // Of processes.
+    // Faults of processes.
     void kill_host();
     void kill_all_after_change();
     void stop_host();
     void freeze_host();
     void reload_host();
-    // Of the platform.
+    // Faults of the platform.
     void platform_busy();
     void platform_silent();
     void platform_loses_history();
     void platform_stale();
     void expire_entries();
     void change_configuration();
-    // Of links.
+    // Faults of links.
     void block_platform_link();
     void delay_platform_link();
     void reset_platform_link();
@@ -64,14 +64,14 @@
     void isolate_domain();
     void impair_runner_link();
     void reset_runner_link();
-    // Of backend servers.
+    // Faults of backend servers.
     void crash_runner();
     void drain_runner();
     void unlist_runner();
     void corrupt_responses();
 
     void begin_platform_mode(StandIn::PlatformStore::Mode, std::string const& what);
-    /// Responses the link, which the caller harms; it heals by itself.
+    /// Schedules the healing of a link and returns it; the function's caller impairs it.
     template<typename Link>
     Link& impair_link(HostInstance&, Link&, std::string const& what);
     void restart_later(HostInstance&);
@@ -79,10 +79,10 @@
     /// Does nothing once heal() has been called.
     void after(Duration, std::function<void()>);
     [[nodiscard]] HostInstance& draw_host();
-    /// Null when a service would be left with too few backend servers.
+    /// Null if the service would be left with too few backend servers.
     [[nodiscard]] RunnerInstance* draw_runner();
     [[nodiscard]] u32 draw_number(u32 below);
-    [[nodiscard]] Duration draw_duration(Duration shortest, Duration longest);
+    [[nodiscard]] Duration draw_duration(Duration min, Duration max);
     [[nodiscard]] Duration draw_fault_duration();
     [[nodiscard]] FaultProxy::Direction draw_direction();
     void log_fault(std::string const& what) const;
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -13,31 +13,31 @@
 #include <iostream>
 #include <sstream>
 
-DEFINE_string(program, "", "the HostServer to be run");
-DEFINE_string(directory, "", "where settings and logs of the processes go, a directory for each seed");
-DEFINE_string(seeds, "", "the seeds to be run, as numbers separated by commas");
-DEFINE_uint32(seconds, 8, "how long faults are begun");
-DEFINE_uint32(faults, 14, "faults of a seed");
-DEFINE_uint32(domains, 2, "failure domains");
-DEFINE_uint32(hosts_per_domain, 2, "entry hosts of each failure domain");
-DEFINE_uint32(engines, 5, "engines in all");
-DEFINE_uint32(plain_servers, 3, "backend servers of the plain service");
-DEFINE_uint32(callers_per_host, 6, "callers of each entry host");
+DEFINE_string(program, "", "the HostServer to run");
+DEFINE_string(directory, "", "directory for settings and logs of the processes, with a subdirectory for each seed");
+DEFINE_string(seeds, "", "the seeds to run, separated by commas");
+DEFINE_uint32(seconds, 8, "seconds during which faults begin");
+DEFINE_uint32(faults, 14, "number of faults of a seed");
+DEFINE_uint32(domains, 2, "number of failure domains");
+DEFINE_uint32(hosts_per_domain, 2, "number of entry hosts in each failure domain");
+DEFINE_uint32(engines, 5, "total number of engines");
+DEFINE_uint32(plain_servers, 3, "number of backend servers of the plain service");
+DEFINE_uint32(callers_per_host, 6, "number of callers of each entry host");
 
 namespace Soak {
 
 static constexpr Duration tick_period = 20ms;
-/// The longest wait for something to do on the loop between two looks at the clock.
+/// Maximum wait for an event on the event loop between two checks of the clock.
 static constexpr Duration loop_step = 10ms;
-/// Seeds of callers for each seed of the soak: more than a usual run has callers.
+/// Caller seeds reserved for each seed of the soak; a usual run has fewer callers.
 static constexpr u32 caller_seeds = 1000;
-/// Bounds on waiting; they end a run that hangs, and measure nothing.
-static constexpr Duration start_patience = 30s;
-static constexpr Duration recovery_patience = 40s;
-static constexpr Duration drain_patience = 40s;
-static constexpr Duration stop_patience = 30s;
+/// Timeouts that end a run that hangs; they check no promise.
+static constexpr Duration start_timeout = 30s;
+static constexpr Duration recovery_timeout = 40s;
+static constexpr Duration drain_timeout = 40s;
+static constexpr Duration stop_timeout = 30s;
 
-/// One seed: a deployment under load, its faults, its recovery, and its planned end.
+/// The run of one seed: a deployment under load, its faults, its recovery and its planned stop.
 class Run {
 public:
     explicit Run(u32 seed)
@@ -50,11 +50,12 @@
     {
     }
 
-    bool play()
+    bool execute()
     {
         this->deployment.start();
         this->tick();
-        if (!this->wait_until([this] { return this->all_served_since_mark(); }, start_patience, "the start"))
+        if (!this->wait_until(
+                [this] { return this->all_served_since_mark(); }, start_timeout, "all callers to be served"))
             return this->report();
         this->faults.start();
         this->run_for(std::chrono::seconds(FLAGS_seconds) + FaultSchedule::aftermath);
@@ -63,9 +64,9 @@
             this->restart_if_down(*host);
         this->mark_served();
         this->wait_until(
-            [this] { return this->all_served_since_mark(); }, recovery_patience, "all hosts serving again");
+            [this] { return this->all_served_since_mark(); }, recovery_timeout, "all hosts to serve again");
         this->stop_load();
-        this->wait_until([this] { return this->engines_are_idle(); }, drain_patience, "an end of all work at engines");
+        this->wait_until([this] { return this->engines_are_idle(); }, drain_timeout, "all engines to be idle");
         this->stop_hosts();
         return this->report();
     }
@@ -122,14 +123,14 @@
     }
 
     template<typename Done>
-    bool wait_until(Done done, Duration patience, std::string const& what)
+    bool wait_until(Done done, Duration timeout, std::string const& what)
     {
-        auto const give_up_at = Deployment::now() + patience;
+        auto const deadline = Deployment::now() + timeout;
         while (!done()) {
             this->loop.run_one_for(loop_step);
-            if (Deployment::now() < give_up_at)
+            if (Deployment::now() < deadline)
                 continue;
-            this->checker.violation("waited in vain for " + what);
+            this->checker.violation("timed out waiting for " + what);
             return false;
         }
         return true;
@@ -137,11 +138,11 @@
 
     void restart_if_down(HostInstance& host)
     {
-        // A process whose planned stop is under way ends first.
-        this->wait_until([&] { return !host.stopping_since || !host.daemon->is_running(); }, stop_patience,
-            "the end of " + host.name);
-        this->wait_until([&] { return !host.is_exit_expected || !host.daemon->is_running(); }, stop_patience,
-            "the end of " + host.name);
+        // A process in a planned stop exits first.
+        this->wait_until([&] { return !host.stopping_since || !host.daemon->is_running(); }, stop_timeout,
+            "the exit of " + host.name);
+        this->wait_until([&] { return !host.is_exit_expected || !host.daemon->is_running(); }, stop_timeout,
+            "the exit of " + host.name);
         this->deployment.start_host(host);
     }
 
@@ -151,7 +152,7 @@
             caller->stop();
         this->wait_until(
             [this] { return std::ranges::all_of(this->callers, [](auto const& caller) { return caller->is_idle(); }); },
-            drain_patience, "answers to all requests");
+            drain_timeout, "responses to all requests");
     }
 
     [[nodiscard]] bool engines_are_idle() const
@@ -169,7 +170,7 @@
                 return std::ranges::none_of(
                     this->deployment.hosts, [](auto const& host) { return host->daemon->is_running(); });
             },
-            stop_patience, "the planned end of all hosts");
+            stop_timeout, "the planned stop of all hosts");
     }
 
     void report_endings() const
@@ -212,16 +213,16 @@
                             "  soak --program HostServer --directory DIRECTORY --seeds 1,2,3");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (FLAGS_program.empty() || FLAGS_directory.empty() || FLAGS_seeds.empty()) {
-        std::cerr << "give --program, --directory and --seeds; see --help" << std::endl;
+        std::cerr << "--program, --directory and --seeds are required; see --help" << std::endl;
         return 2;
     }
     std::signal(SIGPIPE, SIG_IGN);
     std::istringstream seeds(FLAGS_seeds);
     std::string seed;
-    bool all_kept = true;
+    bool all_succeeded = true;
     while (std::getline(seeds, seed, ',')) {
         std::cout << "seed " << seed << ':' << std::endl;
-        all_kept = Soak::Run(static_cast<u32>(std::stoul(seed))).play() && all_kept;
+        all_succeeded = Soak::Run(static_cast<u32>(std::stoul(seed))).execute() && all_succeeded;
     }
-    return all_kept ? 0 : 1;
+    return all_succeeded ? 0 : 1;
 }
