--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -181,7 +181,7 @@
 
 void Deployment::advertise_limit(RunnerInstance& instance, double per_second)
 {
-    instance.limit = NamedLimit { per_second, now(), {} };
+    instance.limit = AdvertisedLimit { per_second, now(), {} };
     instance.runner->set_limit(std::to_string(per_second));
 }
 
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -43,7 +43,7 @@
 };
 
 /// A limit that a backend server advertises, and the requests it has got since all hosts can have received it.
-struct NamedLimit {
+struct AdvertisedLimit {
     double per_second { 0 };
     Instant since {};
     /// Requests from hosts that no fault has affected since then.
@@ -64,7 +64,7 @@
     /// Has been set to corrupt responses at some time; its next requests get these faults.
     bool corrupts_responses { false };
     Instant affected_until {};
-    std::optional<NamedLimit> limit;
+    std::optional<AdvertisedLimit> limit;
 };
 
 struct DeploymentSize {
