--- a/Tests/Fleet/LossyNetwork.h
+++ b/Tests/Fleet/LossyNetwork.h
@@ -14,50 +14,50 @@
 
 namespace Test {
 
-/// What hosts of a model tell each other in virtual time: each word comes late to every other host, or never.
+/// The network between simulated hosts in virtual time. It delays each message to each other host, or drops it.
 class LossyNetwork {
 public:
-    static constexpr i64 longest_delay_milliseconds = 300;
+    static constexpr i64 max_delay_milliseconds = 300;
 
-    /// What is on its way to one host.
+    /// The messages in transit to one host.
     class Inbox {
     public:
-        /// Calls `take` with each message that has come by now.
-        template<typename Take>
-        void deliver(Instant now, Take take)
+        /// Calls `handle` with each message that has arrived by now.
+        template<typename Handle>
+        void deliver(Instant now, Handle handle)
         {
-            for (auto const& word : this->words) {
-                if (word.comes_at <= now)
-                    take(*word.message);
+            for (auto const& message : this->messages) {
+                if (message.arrives_at <= now)
+                    handle(*message.message);
             }
-            std::erase_if(this->words, [now](Word const& word) { return word.comes_at <= now; });
+            std::erase_if(this->messages, [now](Message const& message) { return message.arrives_at <= now; });
         }
-        void clear() { this->words.clear(); }
+        void clear() { this->messages.clear(); }
 
     private:
         friend class LossyNetwork;
-        struct Word {
-            Instant comes_at;
+        struct Message {
+            Instant arrives_at;
             std::shared_ptr<wire::HostUse const> message;
         };
-        std::vector<Word> words;
+        std::vector<Message> messages;
     };
 
-    LossyNetwork(double lost_share, u32 seed)
-        : is_lost(lost_share)
+    LossyNetwork(double loss_rate, u32 seed)
+        : is_lost(loss_rate)
         , random(seed)
     {
     }
 
-    /// From one of the hosts to all others, each of which has an `inbox`.
+    /// Sends a message from one of the hosts to all others. Each host has an `inbox`.
     template<typename Hosts, typename Host>
     void broadcast(Hosts& hosts, Host const& from, wire::HostUse const& message, Instant now)
     {
         auto const shared = std::make_shared<wire::HostUse const>(message);
-        std::uniform_int_distribution<i64> delay(1, longest_delay_milliseconds);
+        std::uniform_int_distribution<i64> delay(1, max_delay_milliseconds);
         for (auto& host : hosts) {
             if (&host != &from && !this->is_lost(this->random))
-                host.inbox.words.push_back({ now + std::chrono::milliseconds(delay(this->random)), shared });
+                host.inbox.messages.push_back({ now + std::chrono::milliseconds(delay(this->random)), shared });
         }
     }
 
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -14,16 +14,16 @@
 
 namespace Test {
 
-/// Many hosts in virtual time, as far as repeats go: each has its own retry budget and its own view of the others, from
-/// the platform's table of hosts at its start and from what hosts tell each other, which comes late and not across
-/// cuts. Callers' requests come to the hosts that live; those that fail are repeated as often as budgets grant it.
+/// Simulates how many hosts repeat requests, in virtual time. Each host has its own retry budget and its own view of
+/// the others, from the platform's table of hosts at its start and from state messages, which arrive late and do not
+/// cross partitions. A failed request is repeated as often as the host's budget grants.
 class ModelFleet {
 public:
     struct Shape {
         u32 domains { 3 };
         u32 hosts { 66 };
         Serving::RetryBudget::Limits limits { 0.2, 172, 10s, 8 };
-        /// Of all callers together.
+        /// Total over all callers.
         double requests_per_second { 87 };
         u32 seed { 1 };
     };
@@ -36,20 +36,20 @@
             this->add_host();
     }
 
-    /// A further host, in the domain that comes next.
+    /// Adds a host in the next domain, in turn.
     void add_host()
     {
         auto const number = this->hosts.size();
-        Machine host;
+        SimulatedHost host;
         host.domain = FailureDomainId("hall-" + std::to_string(number % this->shape.domains));
         host.address = Address("10.0." + std::to_string(number / 200) + '.' + std::to_string(number % 200) + ":1");
-        // Callers are spread by a hash of theirs, so that some hosts have several times what others have.
+        // Callers are distributed by a hash, so that some hosts get several times the requests of others.
         host.weight = std::uniform_real_distribution(0.2, 2.0)(this->random);
         this->hosts.push_back(std::move(host));
         this->start(this->hosts.back());
     }
 
-    /// A share of the hosts ends and starts again; they remember nothing.
+    /// Restarts a share of the hosts; they lose all state.
     void restart(double share)
     {
         for (auto& host : this->hosts) {
@@ -58,36 +58,36 @@
         }
     }
 
-    /// Nothing passes between this domain and the others.
+    /// Drops all messages between this domain and the others.
     void partition_domain(u32 number)
     {
-        this->cut = FailureDomainId("hall-" + std::to_string(number % this->shape.domains));
+        this->isolated_domain = FailureDomainId("hall-" + std::to_string(number % this->shape.domains));
     }
-    /// Nothing passes between any hosts, nor to the platform.
-    void isolate_all() { this->all_are_cut = true; }
+    /// Drops all messages between hosts, and to the platform.
+    void isolate_all() { this->all_are_isolated = true; }
     void heal()
     {
-        this->cut.reset();
-        this->all_are_cut = false;
+        this->isolated_domain.reset();
+        this->all_are_isolated = false;
     }
-    /// Hosts that start while the platform is away know nobody but those that tell them something.
-    void set_platform_unavailable(bool is_away) { this->platform_is_away = is_away; }
-    /// How many times as many requests come as usual.
+    /// A host that starts while the platform is unavailable knows only the hosts that send it messages.
+    void set_platform_unavailable(bool is_unavailable) { this->platform_is_unavailable = is_unavailable; }
+    /// Sets the request rate as a multiple of the usual one.
     void set_load(double factor) { this->load = factor; }
-    /// Which share of dispatches fails.
-    void set_failure_rate(double share) { this->failing = share; }
+    /// Sets the share of dispatches that fail.
+    void set_failure_rate(double share) { this->failure_rate = share; }
 
     void run(Duration span)
     {
         auto const end = this->now + span;
         while (this->now < end) {
             this->now += step;
-            this->talk();
+            this->exchange_states();
             this->serve();
         }
     }
 
-    /// The window that exceeds by most what all hosts may repeat.
+    /// The window in which the repeats of all hosts exceed their bound by most.
     [[nodiscard]] Account::RepeatWindow worst_window() const
     {
         auto const& limits = this->shape.limits;
@@ -96,96 +96,97 @@
         return Account::worst_window(this->requests, this->repeats, bound).value_or(Account::RepeatWindow {});
     }
     [[nodiscard]] size_t repeat_count() const { return this->repeats.size(); }
-    [[nodiscard]] size_t wanted_repeat_count() const { return this->wanted; }
+    [[nodiscard]] size_t wanted_repeat_count() const { return this->wanted_repeats; }
 
 private:
     static constexpr Duration step = 20ms;
-    static constexpr Duration talk_period = 500ms;
-    /// From a process's start until it has read the platform's table of hosts.
+    static constexpr Duration broadcast_period = 500ms;
+    /// Time from a process's start until it has read the platform's table of hosts.
     static constexpr Duration directory_delay = 200ms;
-    /// How long what hosts tell each other may be on its way, at most.
-    static constexpr Duration longest_delay = 400ms;
-    /// Further backend servers that a request is sent to when one after another refuses it.
-    static constexpr u32 most_repeats = 3;
+    /// Maximum transit time of a state message.
+    static constexpr Duration max_delay = 400ms;
+    /// Maximum number of further backend servers to which a request is sent as one after another refuses it.
+    static constexpr u32 max_repeats = 3;
 
-    struct Word {
-        Instant comes_at;
+    struct StateMessage {
+        Instant arrives_at;
         Address from;
-        Serving::Reachability::HostStatus said;
+        Serving::Reachability::HostStatus status;
     };
-    struct Machine {
+    struct SimulatedHost {
         Address address;
         FailureDomainId domain;
         double weight { 1 };
         std::optional<Serving::RetryBudget> budget;
         std::optional<Serving::Reachability> reach;
         std::optional<Instant> reads_directory_at;
-        Instant next_talk {};
-        std::vector<Word> words;
+        Instant next_broadcast {};
+        std::vector<StateMessage> inbox;
     };
 
     bool chance(double probability) { return std::bernoulli_distribution(std::min(1.0, probability))(this->random); }
-    Duration any_time_up_to(Duration most)
+    Duration draw_up_to(Duration max)
     {
-        return Duration(std::uniform_int_distribution<i64>(1, most.count())(this->random));
+        return Duration(std::uniform_int_distribution<i64>(1, max.count())(this->random));
     }
 
-    void start(Machine& host)
+    void start(SimulatedHost& host)
     {
         host.budget.emplace(this->shape.limits);
         host.reach.emplace(host.domain);
-        host.words.clear();
+        host.inbox.clear();
         host.reads_directory_at = this->now + directory_delay;
-        host.next_talk = this->now + this->any_time_up_to(talk_period);
+        host.next_broadcast = this->now + this->draw_up_to(broadcast_period);
     }
 
-    [[nodiscard]] bool hear_each_other(Machine const& one, Machine const& other) const
+    [[nodiscard]] bool can_communicate(SimulatedHost const& one, SimulatedHost const& other) const
     {
-        bool const are_parted = this->cut && (one.domain == *this->cut) != (other.domain == *this->cut);
-        return !this->all_are_cut && !are_parted && one.address != other.address;
+        bool const are_partitioned = this->isolated_domain
+            && (one.domain == *this->isolated_domain) != (other.domain == *this->isolated_domain);
+        return !this->all_are_isolated && !are_partitioned && one.address != other.address;
     }
 
-    void read_directory(Machine& host)
+    void read_directory(SimulatedHost& host)
     {
         if (!host.reads_directory_at || this->now < *host.reads_directory_at)
             return;
-        if (this->platform_is_away || this->all_are_cut) {
+        if (this->platform_is_unavailable || this->all_are_isolated) {
             host.reads_directory_at = this->now + 1s;
             return;
         }
         host.reads_directory_at.reset();
-        std::vector<Serving::KnownHost> rows;
+        std::vector<Serving::KnownHost> known_hosts;
         for (auto const& other : this->hosts) {
             if (other.address != host.address)
-                rows.push_back({ other.address, other.domain });
+                known_hosts.push_back({ other.address, other.domain });
         }
-        host.reach->update_known_hosts(rows, this->now);
+        host.reach->update_known_hosts(known_hosts, this->now);
     }
 
-    void talk()
+    void exchange_states()
     {
         for (auto& host : this->hosts) {
             this->read_directory(host);
-            for (auto const& word : host.words) {
-                if (word.comes_at <= this->now)
-                    host.reach->record_message(word.from, word.said, this->now);
+            for (auto const& message : host.inbox) {
+                if (message.arrives_at <= this->now)
+                    host.reach->record_message(message.from, message.status, this->now);
             }
-            std::erase_if(host.words, [&](Word const& word) { return word.comes_at <= this->now; });
-            if (this->now >= host.next_talk)
-                this->tell(host);
+            std::erase_if(host.inbox, [&](StateMessage const& message) { return message.arrives_at <= this->now; });
+            if (this->now >= host.next_broadcast)
+                this->broadcast_state(host);
             Serving::share_allowance(*host.budget, *host.reach, this->now);
         }
     }
 
-    /// Hosts of one domain hear each other; others hear only those that speak for it.
-    void tell(Machine& host)
+    /// Hosts send to all hosts of their own domain; only representatives send to other domains.
+    void broadcast_state(SimulatedHost& host)
     {
-        host.next_talk = this->now + talk_period;
-        auto const said = host.reach->own_status(talk_period, this->now);
-        bool const speaks = host.reach->is_representative(host.address, this->now);
+        host.next_broadcast = this->now + broadcast_period;
+        auto const status = host.reach->own_status(broadcast_period, this->now);
+        bool const is_representative = host.reach->is_representative(host.address, this->now);
         for (auto& other : this->hosts) {
-            if (hear_each_other(host, other) && (speaks || other.domain == host.domain))
-                other.words.push_back({ this->now + this->any_time_up_to(longest_delay), host.address, said });
+            if (can_communicate(host, other) && (is_representative || other.domain == host.domain))
+                other.inbox.push_back({ this->now + this->draw_up_to(max_delay), host.address, status });
         }
     }
 
@@ -198,16 +199,16 @@
         auto const expected = this->load * this->shape.requests_per_second * AK::to_seconds(step);
         auto const count = std::poisson_distribution<u32>(expected)(this->random);
         for (u32 i = 0; i < count; ++i)
-            this->take_request(*std::next(this->hosts.begin(), static_cast<std::ptrdiff_t>(choose(this->random))));
+            this->handle_request(*std::next(this->hosts.begin(), static_cast<std::ptrdiff_t>(choose(this->random))));
     }
 
-    void take_request(Machine& host)
+    void handle_request(SimulatedHost& host)
     {
         auto const milliseconds = static_cast<u64>(AK::to_milliseconds(this->now.time_since_epoch()));
         this->requests.push_back(milliseconds);
         host.budget->record_request(service, this->now);
-        for (u32 i = 0; i < most_repeats && this->chance(this->failing); ++i) {
-            ++this->wanted;
+        for (u32 i = 0; i < max_repeats && this->chance(this->failure_rate); ++i) {
+            ++this->wanted_repeats;
             if (!host.budget->take(service, this->now).is_granted)
                 return;
             this->repeats.push_back(milliseconds);
@@ -218,16 +219,16 @@
 
     Shape shape;
     std::mt19937 random;
-    std::list<Machine> hosts;
+    std::list<SimulatedHost> hosts;
     Instant now { 100s };
-    std::optional<FailureDomainId> cut;
-    bool all_are_cut { false };
-    bool platform_is_away { false };
+    std::optional<FailureDomainId> isolated_domain;
+    bool all_are_isolated { false };
+    bool platform_is_unavailable { false };
     double load { 1 };
-    double failing { 0 };
+    double failure_rate { 0 };
     std::vector<u64> requests;
     std::vector<u64> repeats;
-    size_t wanted { 0 };
+    size_t wanted_repeats { 0 };
 };
 
 }
--- a/Tests/Fleet/TestColdServers.cpp
+++ b/Tests/Fleet/TestColdServers.cpp
@@ -15,17 +15,17 @@
 
 namespace {
 
-/// What the operator's pages allow in any second, for `cold_per_second` 25: half as much again, and five.
+/// Requests that the operator's pages allow in any second: 1.5 times `cold_per_second`, plus five.
 constexpr double cold_per_second = 25;
-/// Servers that come back together.
-constexpr u32 rack = 6;
+/// Number of servers that return together.
+constexpr u32 rack_size = 6;
 constexpr double allowed_in_a_second = cold_per_second * 1.5 + 5;
 
-/// Hosts in virtual time, each of which sends to every cold server whenever it may: callers press, and nothing else is
-/// left. Each has its own view of the others, from the platform's table at its start and from what it hears.
-class PressingFleet {
+/// Hosts in virtual time that send to every cold server as often as they may, as under high load without other servers.
+/// Each host has its own view of the others, from the platform's table at its start and from state messages.
+class SaturatingFleet {
 public:
-    PressingFleet(u32 hosts, u32 domains, u32 seed)
+    SaturatingFleet(u32 hosts, u32 domains, u32 seed)
         : domains(domains)
         , random(seed)
     {
@@ -38,8 +38,8 @@
         for (u32 i = 0; i < hosts; ++i)
             this->add_host();
         for (auto& host : this->hosts)
-            this->read_table(host);
-        this->talk();
+            this->read_host_table(host);
+        this->exchange_states();
     }
 
     void add_host()
@@ -48,27 +48,27 @@
         auto& host = this->hosts.emplace_back();
         host.domain = FailureDomainId("hall-" + std::to_string(number % this->domains));
         host.address = Address("10.0." + std::to_string(number / 200) + '.' + std::to_string(number % 200) + ":1");
-        this->begin(host);
+        this->reset_host(host);
     }
 
-    /// A share of the hosts ends and starts again; it remembers nothing.
+    /// Restarts a share of the hosts; they lose all state.
     void restart(double share)
     {
         for (auto& host : this->hosts) {
             if (std::uniform_real_distribution(0.0, 1.0)(this->random) < share) {
-                this->begin(host);
-                this->read_table(host);
+                this->reset_host(host);
+                this->read_host_table(host);
             }
         }
     }
-    void read_table_everywhere()
+    void read_host_table_everywhere()
     {
         for (auto& host : this->hosts)
-            this->read_table(host);
+            this->read_host_table(host);
     }
 
-    /// A rack comes back: all of its servers at once, cold for `span`.
-    void cold_return(u32 servers, Duration span)
+    /// Starts all servers of a rack at once, cold for `span`.
+    void start_cold_servers(u32 servers, Duration span)
     {
         for (u32 i = 0; i < servers; ++i) {
             BackendServer server;
@@ -89,47 +89,47 @@
     {
         auto const end = this->now + span;
         for (; this->now < end; this->now += step) {
-            if ((this->now - Instant {}) % talk_period < step)
-                this->talk();
+            if ((this->now - Instant {}) % broadcast_period < step)
+                this->exchange_states();
             for (auto& host : this->hosts)
-                this->press(host);
+                this->send_permitted(host);
         }
     }
 
-    /// The most that any server got in any second.
-    [[nodiscard]] size_t most_in_a_second() const
+    /// Maximum number of requests that any server got in any second.
+    [[nodiscard]] size_t max_per_second() const
     {
-        size_t most = 0;
+        size_t max = 0;
         for (auto arrivals : this->arrivals) {
             std::ranges::sort(arrivals.second);
             size_t first = 0;
             for (size_t last = 0; last < arrivals.second.size(); ++last) {
                 while (arrivals.second[last] - arrivals.second[first] >= 1s)
                     ++first;
-                most = std::max(most, last - first + 1);
+                max = std::max(max, last - first + 1);
             }
         }
-        return most;
+        return max;
     }
-    /// Of the server that got least.
-    [[nodiscard]] size_t least_in_all() const
+    /// Total number of requests of the server that got the fewest.
+    [[nodiscard]] size_t min_total() const
     {
-        size_t least = SIZE_MAX;
+        size_t min = SIZE_MAX;
         for (auto const& [id, server] : this->servers) {
             auto found = this->arrivals.find({ id, server.start });
-            least = std::min(least, found == this->arrivals.end() ? 0 : found->second.size());
+            min = std::min(min, found == this->arrivals.end() ? 0 : found->second.size());
         }
-        return least;
+        return min;
     }
-    bool is_cut { false };
+    bool is_partitioned { false };
 
 private:
     static constexpr Duration step = 50ms;
-    static constexpr Duration talk_period = 500ms;
-    /// A connection may take so long to come up before the request is sent on it.
-    static constexpr i64 longest_delay_milliseconds = 400;
+    static constexpr Duration broadcast_period = 500ms;
+    /// Maximum time to establish a connection before the request is sent on it.
+    static constexpr i64 max_delay_milliseconds = 400;
 
-    struct Machine {
+    struct SimulatedHost {
         Address address;
         FailureDomainId domain;
         std::unique_ptr<Reachability> reach;
@@ -137,7 +137,7 @@
         BackendTable table;
     };
 
-    void begin(Machine& host)
+    void reset_host(SimulatedHost& host)
     {
         host.reach = std::make_unique<Reachability>(host.domain);
         host.server_limits = std::make_unique<ServerLimits>(*host.reach, host.address);
@@ -147,7 +147,7 @@
             host.table.update(server, this->now);
     }
 
-    void read_table(Machine& host)
+    void read_host_table(SimulatedHost& host)
     {
         std::vector<KnownHost> known;
         for (auto const& other : this->hosts) {
@@ -157,25 +157,25 @@
         host.reach->update_known_hosts(known, this->now);
     }
 
-    void talk()
+    void exchange_states()
     {
-        if (this->is_cut)
+        if (this->is_partitioned)
             return;
         for (auto& host : this->hosts) {
             for (auto const& other : this->hosts) {
                 if (other.domain == host.domain && other.address != host.address)
                     host.reach->record_message(
-                        other.address, other.reach->own_status(talk_period, this->now), this->now);
+                        other.address, other.reach->own_status(broadcast_period, this->now), this->now);
             }
         }
     }
 
-    void press(Machine& host)
+    void send_permitted(SimulatedHost& host)
     {
-        std::uniform_int_distribution<i64> delay(0, longest_delay_milliseconds);
+        std::uniform_int_distribution<i64> delay(0, max_delay_milliseconds);
         for (auto const& [id, server] : this->servers) {
             auto backend = host.table.find(id);
-            // Once it is warm the bound is over.
+            // The bound applies only until the server is warm.
             while (this->now < backend->cold_until && host.server_limits->may_send(*backend, this->now)) {
                 host.server_limits->record_sent(*backend, this->now);
                 this->arrivals[{ id, server.start }].push_back(
@@ -187,9 +187,9 @@
     u32 domains;
     std::mt19937 random;
     std::shared_ptr<RoutingTable const> routing;
-    std::list<Machine> hosts;
+    std::list<SimulatedHost> hosts;
     std::map<EngineId, BackendServer> servers;
-    /// By start: what was sent to a former one reaches nobody.
+    /// By server and start, since requests to a former start reach no server.
     std::map<std::pair<EngineId, ServerStart>, std::vector<Instant>> arrivals;
     i64 starts { 1000 };
     Instant now { 100s };
@@ -205,48 +205,48 @@
     };
     auto const shape = GENERATE(Shape { 2, 1 }, Shape { 8, 3 }, Shape { 62, 3 }, Shape { 300, 3 }, Shape { 300, 22 });
     INFO(shape.hosts << " hosts in " << shape.domains << " domains");
-    PressingFleet fleet(shape.hosts, shape.domains, 7);
+    SaturatingFleet fleet(shape.hosts, shape.domains, 7);
     fleet.run(2s);
-    WHEN("a rack comes back cold at once while callers press")
+    WHEN("a rack of cold servers returns at once under high load")
     {
-        fleet.cold_return(rack, 4s);
+        fleet.start_cold_servers(rack_size, 4s);
         fleet.run(5s);
-        CHECK(fleet.most_in_a_second() <= allowed_in_a_second);
-        THEN("each server gets a good part of what it bears all the same")
+        CHECK(fleet.max_per_second() <= allowed_in_a_second);
+        THEN("each server still gets at least a third of the requests that it sustains")
         {
-            CHECK(static_cast<double>(fleet.least_in_all()) >= 4 * cold_per_second / 3);
+            CHECK(static_cast<double>(fleet.min_total()) >= 4 * cold_per_second / 3);
         }
     }
-    WHEN("the hosts are cut off from each other meanwhile")
+    WHEN("the hosts are partitioned from each other meanwhile")
     {
-        fleet.is_cut = true;
+        fleet.is_partitioned = true;
         fleet.run(10s);
-        fleet.cold_return(rack, 4s);
+        fleet.start_cold_servers(rack_size, 4s);
         fleet.run(5s);
-        CHECK(fleet.most_in_a_second() <= allowed_in_a_second);
+        CHECK(fleet.max_per_second() <= allowed_in_a_second);
     }
-    WHEN("all hosts end and start again while the servers are cold")
+    WHEN("all hosts restart while the servers are cold")
     {
-        fleet.cold_return(rack, 6s);
+        fleet.start_cold_servers(rack_size, 6s);
         fleet.run(600ms);
         fleet.restart(1);
         fleet.run(5s);
-        CHECK(fleet.most_in_a_second() <= allowed_in_a_second);
+        CHECK(fleet.max_per_second() <= allowed_in_a_second);
     }
-    WHEN("servers become cold a second time under a new start")
+    WHEN("servers become cold again under a new start")
     {
-        fleet.cold_return(rack, 800ms);
+        fleet.start_cold_servers(rack_size, 800ms);
         fleet.run(3s);
-        fleet.cold_return(rack, 4s);
+        fleet.start_cold_servers(rack_size, 4s);
         fleet.run(5s);
-        CHECK(fleet.most_in_a_second() <= allowed_in_a_second);
+        CHECK(fleet.max_per_second() <= allowed_in_a_second);
     }
 }
 
 SCENARIO("any series of restarts, new hosts, cuts and cold returns keeps the bound of cold servers")
 {
     CHECK(rc::check([] {
-        PressingFleet fleet(
+        SaturatingFleet fleet(
             *rc::gen::element<u32>(1, 8, 43, 62, 90), *rc::gen::inRange<u32>(1, 5), *rc::gen::arbitrary<u32>());
         auto const steps = *rc::gen::inRange(1, 8);
         for (int i = 0; i < steps; ++i) {
@@ -255,23 +255,23 @@
                 fleet.restart(*rc::gen::element(0.1, 0.5, 1.0));
                 break;
             case 1:
-                // A host that joins reads the table, and those that run hear of it.
+                // The joining host reads the host table, and the running hosts learn of the new row.
                 fleet.add_host();
-                fleet.read_table_everywhere();
+                fleet.read_host_table_everywhere();
                 break;
             case 2:
-                fleet.is_cut = !fleet.is_cut;
+                fleet.is_partitioned = !fleet.is_partitioned;
                 break;
             default:
-                fleet.cold_return(4, std::chrono::milliseconds(*rc::gen::element(300, 1000, 5000)));
+                fleet.start_cold_servers(4, std::chrono::milliseconds(*rc::gen::element(300, 1000, 5000)));
             }
             fleet.run(std::chrono::milliseconds(*rc::gen::element(200, 700, 1500, 2500)));
         }
-        RC_ASSERT(static_cast<double>(fleet.most_in_a_second()) <= allowed_in_a_second);
+        RC_ASSERT(static_cast<double>(fleet.max_per_second()) <= allowed_in_a_second);
     }));
 }
 
-SCENARIO("a server that is warm, or of a service without a bound, is not held back")
+SCENARIO("no bound applies to a warm server or to a service without one")
 {
     Reachability reach(FailureDomainId("hall-a"));
     ServerLimits server_limits(reach, Address("10.0.0.1:1"));
@@ -288,12 +288,12 @@
     backend.server.service = ServiceName("models");
     CHECK(server_limits.may_send(backend, now));
     backend.cold_until = now + 1s;
-    THEN("a host that does not know how many share it sends nothing to one that is cold")
+    THEN("a host that does not know how many hosts share the bound sends a cold server nothing")
     {
         CHECK_FALSE(server_limits.may_send(backend, now));
         CHECK(server_limits.may_send(backend, now + 1s));
     }
-    THEN("one of a service without a bound takes everything")
+    THEN("a cold server of a service without a bound gets all requests")
     {
         backend.server.service = ServiceName("lanes");
         CHECK(server_limits.may_send(backend, now));
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -16,29 +16,29 @@
 
 namespace {
 
-/// Every host in touch knows by then what a server has named.
+/// Within this time, every reachable host knows the limit that a server has advertised.
 constexpr Duration contact_time = 3s;
 constexpr Duration window = 4s;
-/// What a host sends counts from then on after it has passed on an answer that names the limit.
-constexpr Duration time_to_heed = 500ms;
+/// Requests of a host count from this time after it has relayed a response that advertises the limit.
+constexpr Duration limit_effect_delay = 500ms;
 
-/// Hosts in virtual time that take calls and send each to one of a few servers, which name limits. What hosts tell each
-/// other comes late, and some of it never.
-class LimitedFleet {
+/// Hosts in virtual time that send each call to one of a few servers, which advertise limits. Messages between hosts
+/// arrive late, and some are lost.
+class FleetWithLimits {
 public:
     struct Shape {
         u32 hosts { 8 };
         u32 domains { 3 };
         u32 servers { 3 };
-        /// Of all callers together.
+        /// Total over all callers.
         double calls_per_second { 36 };
-        double lost_share { 0.05 };
+        double loss_rate { 0.05 };
         u32 seed { 1 };
     };
 
-    explicit LimitedFleet(Shape shape)
+    explicit FleetWithLimits(Shape shape)
         : shape(shape)
-        , network(shape.lost_share, shape.seed)
+        , network(shape.loss_rate, shape.seed)
         , random(shape.seed)
     {
         for (u32 i = 0; i < shape.servers; ++i)
@@ -46,35 +46,35 @@
         for (u32 i = 0; i < shape.hosts; ++i)
             this->add_host();
         for (auto& host : this->hosts)
-            this->read_table(host);
+            this->read_host_table(host);
         this->run(6s);
     }
 
-    /// A server names a limit from now on, or none any more.
+    /// From now on a server advertises this limit, or none.
     void set_limit(u32 server, std::optional<double> per_second)
     {
-        auto& named = this->servers.at(server);
-        named.limit.reset();
+        auto& limited = this->servers.at(server);
+        limited.limit.reset();
         if (per_second)
-            named.limit = RequestRate(*per_second);
-        named.limit_since = this->now;
-        // What was sent before was within what the server named then.
-        named.counted.clear();
+            limited.limit = RequestRate(*per_second);
+        limited.limit_since = this->now;
+        // Earlier requests were subject to the server's previous limit.
+        limited.counted.clear();
         for (auto& host : this->hosts)
-            host.passed_on_at.erase(named.id);
+            host.first_relayed_at.erase(limited.id);
     }
 
-    /// A share of the hosts ends and starts again; they remember nothing.
+    /// Restarts a share of the hosts; they lose all state.
     void restart(double share)
     {
         for (auto& host : this->hosts) {
             if (!this->chance(share))
                 continue;
-            this->begin(host);
-            this->read_table(host);
+            this->reset_host(host);
+            this->read_host_table(host);
         }
     }
-    void set_cut(bool now_cut) { this->is_cut = now_cut; }
+    void set_partitioned(bool now_partitioned) { this->is_partitioned = now_partitioned; }
     void set_load(double calls_per_second) { this->shape.calls_per_second = calls_per_second; }
 
     void run(Duration span)
@@ -83,15 +83,15 @@
         for (; this->now < end; this->now += step) {
             this->deliver();
             this->broadcast_full_state();
-            this->take_answers();
+            this->handle_responses();
             auto const expected = this->shape.calls_per_second * AK::to_seconds(step);
             for (auto i = std::poisson_distribution<u32>(expected)(this->random); i > 0; --i)
-                this->take_call(this->any_host());
+                this->handle_call(this->random_host());
         }
     }
 
-    /// Of all servers that have named the limit that they name for the time of contact: by how many requests some
-    /// window that ended since then exceeds what it allows.
+    /// Maximum number of requests by which any window exceeded a limit that had been advertised for at least
+    /// `contact_time`, over all servers.
     [[nodiscard]] double worst_excess() const { return this->excess; }
     [[nodiscard]] u32 refused() const { return this->refused_calls; }
     [[nodiscard]] size_t arrivals_within(u32 server, Duration span) const
@@ -102,7 +102,7 @@
 
 private:
     static constexpr Duration step = 20ms;
-    static constexpr Duration talk_period = 500ms;
+    static constexpr Duration broadcast_period = 500ms;
     static constexpr Duration work_time = 60ms;
 
     struct Server {
@@ -110,30 +110,30 @@
         std::optional<RequestRate> limit;
         Instant limit_since;
         std::vector<Instant> arrivals;
-        /// Of those, what hosts sent that knew the limit from an answer that they had passed on.
+        /// Those arrivals whose host knew the limit from a response that it had relayed.
         std::vector<Instant> counted;
     };
-    struct Machine {
+    struct SimulatedHost {
         Address address;
         FailureDomainId domain;
         HostSettings settings;
         std::unique_ptr<ServingContext> context;
         Test::LossyNetwork::Inbox inbox;
-        /// When it first passed on an answer that names what the server names now.
-        std::map<EngineId, Instant> passed_on_at;
+        /// When the host first relayed a response with each server's current limit.
+        std::map<EngineId, Instant> first_relayed_at;
         Instant started_at {};
-        Instant next_talk {};
+        Instant next_broadcast {};
     };
-    struct Answer {
-        Instant comes_at;
-        Machine* host;
+    struct Response {
+        Instant arrives_at;
+        SimulatedHost* host;
         Instant host_started_at;
         EngineId server;
         std::optional<RequestRate> limit;
     };
 
     bool chance(double probability) { return std::bernoulli_distribution(probability)(this->random); }
-    Machine& any_host()
+    SimulatedHost& random_host()
     {
         std::uniform_int_distribution<size_t> number(0, this->hosts.size() - 1);
         return *std::next(this->hosts.begin(), static_cast<std::ptrdiff_t>(number(this->random)));
@@ -147,20 +147,20 @@
         host.address = Address("10.0." + std::to_string(number / 200) + '.' + std::to_string(number % 200) + ":1");
         host.settings.failure_domain = host.domain;
         host.settings.peer_address = host.address;
-        this->begin(host);
+        this->reset_host(host);
     }
 
-    void begin(Machine& host)
+    void reset_host(SimulatedHost& host)
     {
         host.inbox.clear();
-        host.passed_on_at.clear();
+        host.first_relayed_at.clear();
         host.started_at = this->now;
         host.context = std::make_unique<ServingContext>(this->loop, host.settings, this->log);
         host.context->clock = [this] { return this->now; };
         host.context->limit_changed = [this, &host](Backend const& backend) {
             wire::HostUse message;
             put_rate_limit(message, *host.context, backend);
-            this->tell(host, message);
+            this->broadcast(host, message);
         };
         for (auto const& server : this->servers) {
             BackendServer listed;
@@ -173,7 +173,7 @@
         }
     }
 
-    void read_table(Machine& host)
+    void read_host_table(SimulatedHost& host)
     {
         std::vector<KnownHost> known;
         for (auto const& other : this->hosts) {
@@ -183,9 +183,9 @@
         host.context->reach.update_known_hosts(known, this->now);
     }
 
-    void tell(Machine const& from, wire::HostUse const& message)
+    void broadcast(SimulatedHost const& from, wire::HostUse const& message)
     {
-        if (!this->is_cut)
+        if (!this->is_partitioned)
             this->network.broadcast(this->hosts, from, message, this->now);
     }
 
@@ -199,17 +199,17 @@
     void broadcast_full_state()
     {
         for (auto& host : this->hosts) {
-            if (this->now < host.next_talk)
+            if (this->now < host.next_broadcast)
                 continue;
-            host.next_talk = this->now + talk_period;
+            host.next_broadcast = this->now + broadcast_period;
             wire::HostUse message;
             put_recent_rate_limits(message, *host.context, LimitScope::Own);
             if (message.limits_size() > 0)
-                this->tell(host, message);
+                this->broadcast(host, message);
         }
     }
 
-    void take_call(Machine& host)
+    void handle_call(SimulatedHost& host)
     {
         auto& context = *host.context;
         auto const& candidates = context.backends.of_service(ServiceName("lanes"));
@@ -221,12 +221,12 @@
         context.server_limits.record_sent(*chosen, this->now);
         auto& server = *std::ranges::find(this->servers, chosen->server.id, &Server::id);
         server.arrivals.push_back(this->now);
-        auto const passed_on = host.passed_on_at.find(server.id);
-        if (passed_on != host.passed_on_at.end() && this->now - passed_on->second >= time_to_heed)
+        auto const first_relayed = host.first_relayed_at.find(server.id);
+        if (first_relayed != host.first_relayed_at.end() && this->now - first_relayed->second >= limit_effect_delay)
             server.counted.push_back(this->now);
         this->check(server);
         ++chosen->in_flight;
-        this->answers.push_back({ this->now + work_time, &host, host.started_at, server.id, server.limit });
+        this->responses.push_back({ this->now + work_time, &host, host.started_at, server.id, server.limit });
     }
 
     void check(Server const& server)
@@ -240,19 +240,19 @@
         this->excess = std::max(this->excess, count - allowed);
     }
 
-    void take_answers()
+    void handle_responses()
     {
-        for (auto const& answer : this->answers) {
-            if (answer.comes_at > this->now || answer.host->started_at != answer.host_started_at)
+        for (auto const& response : this->responses) {
+            if (response.arrives_at > this->now || response.host->started_at != response.host_started_at)
                 continue;
-            auto backend = answer.host->context->backends.find(answer.server);
+            auto backend = response.host->context->backends.find(response.server);
             --backend->in_flight;
-            record_rate_limit(*answer.host->context, *backend, answer.limit);
-            auto const& server = *std::ranges::find(this->servers, answer.server, &Server::id);
-            if (answer.limit && answer.limit == server.limit)
-                answer.host->passed_on_at.try_emplace(answer.server, this->now);
+            record_rate_limit(*response.host->context, *backend, response.limit);
+            auto const& server = *std::ranges::find(this->servers, response.server, &Server::id);
+            if (response.limit && response.limit == server.limit)
+                response.host->first_relayed_at.try_emplace(response.server, this->now);
         }
-        std::erase_if(this->answers, [&](Answer const& answer) { return answer.comes_at <= this->now; });
+        std::erase_if(this->responses, [&](Response const& response) { return response.arrives_at <= this->now; });
     }
 
     Shape shape;
@@ -261,31 +261,31 @@
     Test::LossyNetwork network;
     std::mt19937 random;
     std::vector<Server> servers;
-    std::list<Machine> hosts;
-    std::vector<Answer> answers;
+    std::list<SimulatedHost> hosts;
+    std::vector<Response> responses;
     Instant now { 100s };
-    bool is_cut { false };
+    bool is_partitioned { false };
     u32 refused_calls { 0 };
     double excess { 0 };
 };
 
 }
 
-// Each host that kept such a limit for itself would send as much as all may: 8, 66 or 300 times the limit.
+// If each host applied the limit for itself alone, the server would get 8, 66 or 300 times the limit.
 SCENARIO("hosts of any number send a server no more than the limit that it names")
 {
     auto const hosts = GENERATE(8u, 66u, 300u);
     auto const limit = GENERATE(2.0, 5.5, 50.0);
     CAPTURE(hosts, limit);
-    LimitedFleet fleet({ hosts, 3, 3, 36, 0.05, 7 });
-    GIVEN("two servers of three that name a limit")
+    FleetWithLimits fleet({ hosts, 3, 3, 36, 0.05, 7 });
+    GIVEN("two servers of three that advertise a limit")
     {
         fleet.set_limit(0, limit);
         fleet.set_limit(1, limit);
         fleet.run(10s);
         CHECK(fleet.worst_excess() <= 0);
-        THEN("the third one takes the rest") { CHECK(fleet.refused() == 0); }
-        WHEN("they name none any more")
+        THEN("the third one gets the rest") { CHECK(fleet.refused() == 0); }
+        WHEN("they withdraw it")
         {
             fleet.set_limit(0, {});
             fleet.set_limit(1, {});
@@ -297,7 +297,7 @@
             }
         }
     }
-    GIVEN("servers that all name one, and three times as many calls")
+    GIVEN("servers that all advertise one, and three times as many calls")
     {
         for (u32 i = 0; i < 3; ++i)
             fleet.set_limit(i, limit);
@@ -305,12 +305,12 @@
         fleet.set_load(100);
         fleet.run(12s);
         CHECK(fleet.worst_excess() <= 0);
-        THEN("each gets a good part of what it takes")
+        THEN("each still gets a substantial share of its limit")
         {
             for (u32 i = 0; i < 3; ++i)
                 CHECK(static_cast<double>(fleet.arrivals_within(i, 8s)) >= std::min(8 * limit / 3, 30.0));
         }
-        WHEN("hosts end and start again")
+        WHEN("hosts restart")
         {
             fleet.restart(0.5);
             fleet.run(6s);
@@ -322,14 +322,14 @@
 SCENARIO("any series of limits, restarts, cuts and loads keeps the limits that servers name")
 {
     rc::prop("of fleets of any size", [] {
-        LimitedFleet::Shape shape;
+        FleetWithLimits::Shape shape;
         shape.hosts = *rc::gen::element<u32>(1, 3, 8, 43, 90);
         shape.domains = *rc::gen::inRange<u32>(1, 5);
         shape.servers = *rc::gen::inRange<u32>(1, 6);
         shape.calls_per_second = 12.0 * shape.servers;
-        shape.lost_share = *rc::gen::element(0.0, 0.05, 0.3);
+        shape.loss_rate = *rc::gen::element(0.0, 0.05, 0.3);
         shape.seed = *rc::gen::inRange<u32>(1, 100'000);
-        LimitedFleet fleet(shape);
+        FleetWithLimits fleet(shape);
         for (auto what : *rc::gen::container<std::vector<u8>>(8, rc::gen::inRange<u8>(0, 10))) {
             if (what < 4)
                 fleet.set_limit(what % shape.servers, 2 + 3.5 * what);
@@ -340,7 +340,7 @@
             else if (what < 8)
                 fleet.set_load((what == 6 ? 40.0 : 4.0) * shape.servers);
             else
-                fleet.set_cut(what == 8);
+                fleet.set_partitioned(what == 8);
             fleet.run(2500ms);
         }
         RC_ASSERT(fleet.worst_excess() <= 0);
--- a/Tests/Fleet/TestOverload.cpp
+++ b/Tests/Fleet/TestOverload.cpp
@@ -31,7 +31,7 @@
         CHECK(outcome.in_time + outcome.late + outcome.refused <= outcome.requests);
         peak = std::max(peak, outcome.in_time);
     }
-    THEN("it does where each generation is taken")
+    THEN("it does if every generation is accepted")
     {
         CHECK(under_load(Policy::TakeAll, hosts, 3.0).in_time < 0.5 * under_load(Policy::TakeAll, hosts, 0.8).in_time);
     }
--- a/Tests/Fleet/TestRepeats.cpp
+++ b/Tests/Fleet/TestRepeats.cpp
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// On machines of the users, a service of a deployment of 66 hosts got more further dispatches of its requests within
-// ten seconds than all hosts together may send. Engines refused connections, and hosts had started anew meanwhile.
-// Each host kept to its own part; the parts were more than the whole. A host that had just started divided the
-// allowance by the eight hosts of its setting instead of 66, and had forgotten what it spent before; and a bucket held
-// half a window's worth that had been saved up beside what the window itself earned. That each of these suffices is
-// shown here; that nothing else was counted is shown by hosts' logs, whose granted repeats add up to the arrivals that
-// the service saw (docs/incidents/repeats-beyond-the-allowance.md).
+// In a deployment of 66 hosts, a service got more repeated dispatches within ten seconds than all hosts together may
+// send, while engines refused connections and hosts restarted. Each host kept its own share, but the shares added up to
+// more than the bound, for two reasons. A host that had just started divided the allowance by the eight hosts of its
+// setting instead of 66, and did not know what it had spent before. A bucket also held half a window's worth of saved
+// repeats in addition to those that the window itself earned. These tests show that either reason suffices. The hosts'
+// logs show that there was no other: their granted repeats add up to the arrivals that the service saw
+// (docs/incidents/repeats-beyond-the-allowance.md).
 
 #include <Tests/Fleet/ModelFleet.h>
 #include <rapidcheck/catch.h>
@@ -27,7 +27,7 @@
 SCENARIO("all hosts together repeat no more than the bound allows")
 {
     ModelFleet fleet({});
-    GIVEN("hosts that know each other and have repeated nothing for long")
+    GIVEN("hosts that know each other and have not repeated any request for a while")
     {
         fleet.run(30s);
         WHEN("most dispatches fail")
@@ -35,7 +35,7 @@
             fleet.set_failure_rate(0.9);
             fleet.run(25s);
             check_bound(fleet);
-            THEN("much of what is allowed is used") { CHECK(fleet.worst_window().repeats > 200); }
+            THEN("much of the allowance is used") { CHECK(fleet.worst_window().repeats > 200); }
         }
         WHEN("most dispatches fail, and all hosts are killed meanwhile")
         {
@@ -45,7 +45,7 @@
             fleet.run(15s);
             check_bound(fleet);
         }
-        WHEN("some hosts after another are killed while dispatches fail")
+        WHEN("some of the hosts are killed every second while dispatches fail")
         {
             fleet.set_failure_rate(0.9);
             for (int i = 0; i < 12; ++i) {
@@ -62,7 +62,7 @@
             fleet.run(25s);
             check_bound(fleet);
         }
-        WHEN("a domain is cut off, and hosts of all domains start anew meanwhile")
+        WHEN("a domain is partitioned, and hosts of all domains restart meanwhile")
         {
             fleet.partition_domain(1);
             fleet.run(5s);
@@ -71,7 +71,7 @@
             fleet.run(30s);
             check_bound(fleet);
         }
-        WHEN("hosts start anew while the platform is away")
+        WHEN("hosts restart while the platform is unavailable")
         {
             fleet.set_platform_unavailable(true);
             fleet.restart(0.7);
@@ -79,7 +79,7 @@
             fleet.run(25s);
             check_bound(fleet);
         }
-        WHEN("hosts start anew, and hear neither each other nor the platform")
+        WHEN("hosts restart and reach neither each other nor the platform")
         {
             fleet.isolate_all();
             fleet.restart(1);
@@ -113,13 +113,13 @@
     fleet.run(30s);
     fleet.set_failure_rate(0.9);
     fleet.run(3s);
-    WHEN("all of them are killed once they have spent it")
+    WHEN("all of them are killed once they have spent their share")
     {
         fleet.restart(1);
         fleet.run(15s);
         check_bound(fleet);
     }
-    WHEN("they go on")
+    WHEN("they keep running")
     {
         fleet.run(20s);
         check_bound(fleet);
