--- a/Tests/Hosts/HostGroup.h
+++ b/Tests/Hosts/HostGroup.h
@@ -10,7 +10,7 @@
 
 namespace Test {
 
-/// Several hosts with the users' platform around them, all on one loop. Callers choose the host.
+/// Several hosts and the users' platform on one event loop. Callers choose the host.
 class HostGroup {
 public:
     explicit HostGroup(std::vector<std::string> const& domains)
@@ -20,7 +20,7 @@
             this->members.push_back(std::make_unique<Member>(*this, domain));
     }
 
-    /// Starts all hosts and waits until each is ready and hears all others.
+    /// Starts all hosts and waits until each is ready and has received messages from the others.
     void start()
     {
         for (auto& member : this->members)
@@ -28,7 +28,7 @@
         this->await_ready();
     }
 
-    /// Every process ends without a word, and starts anew with nothing kept.
+    /// Terminates every host process without notice and starts a new one without any state.
     void replace_all()
     {
         for (auto& member : this->members)
@@ -36,7 +36,7 @@
         this->start();
     }
 
-    /// One process ends without a word, and starts anew with nothing kept.
+    /// Terminates one host process without notice and starts a new one without any state.
     void replace(size_t number)
     {
         this->members.at(number)->host.reset();
@@ -106,16 +106,16 @@
 
     [[nodiscard]] bool is_ready(Member const& member)
     {
-        auto asked = this->platform.send(Http::Request(Http::Verb::get, "/ready", 11), member.readiness);
-        this->platform.until([&] { return asked->is_over(); });
-        return asked->status == 200;
+        auto call = this->platform.send(Http::Request(Http::Verb::get, "/ready", 11), member.readiness);
+        this->platform.until([&] { return call->is_over(); });
+        return call->status == 200;
     }
 
     void await_ready()
     {
         for (auto& member : this->members)
             this->platform.until([&] { return this->is_ready(*member); });
-        // Until hosts of all domains have heard those that speak for the others.
+        // Long enough for hosts of all domains to receive messages from the representatives of the others.
         this->run_for(1200ms);
     }
 
--- a/Tests/Hosts/LoadedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -10,10 +10,10 @@
 
 namespace Test {
 
-/// Callers that press on three hosts before a few backend servers of one service.
+/// A few backend servers of one service under load from callers at three hosts.
 class LoadedServers {
 public:
-    /// Requests of a host that reached a server.
+    /// A request of a host that reached a server.
     struct Arrival {
         size_t host;
         Instant moment;
@@ -21,7 +21,7 @@
         Instant sent_at;
     };
 
-    /// `path`: of the route that callers use.
+    /// `path`: a path on the route that callers use.
     LoadedServers(int count, std::string service, std::string path)
         : path(std::move(path))
     {
@@ -38,7 +38,7 @@
         this->hosts.start();
     }
 
-    /// Each host gets 20 requests a second.
+    /// Sends 20 requests a second to each host.
     void apply_load(Duration span)
     {
         auto const end = AK::BootClock::now() + span;
@@ -63,19 +63,19 @@
         return static_cast<size_t>(
             std::ranges::count_if(this->arrivals[server], [&](auto const& arrival) { return arrival.moment >= from; }));
     }
-    /// The most that a server got in any window that ended after `from`.
+    /// Maximum number of requests that a server got in any window that ended after `from`.
     [[nodiscard]] size_t max_in_window(size_t server, Instant from, Duration window)
     {
         auto const& all = this->arrivals[server];
-        size_t most = 0;
+        size_t max = 0;
         size_t first = 0;
         for (size_t last = 0; last < all.size(); ++last) {
             while (all[last].moment - all[first].moment >= window)
                 ++first;
             if (all[last].moment >= from)
-                most = std::max(most, last - first + 1);
+                max = std::max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
     [[nodiscard]] size_t count_with_status(unsigned status) const
     {
--- a/Tests/Hosts/TestServersThatSayTheyLeave.cpp
+++ b/Tests/Hosts/TestServersThatSayTheyLeave.cpp
@@ -10,102 +10,106 @@
 
 namespace {
 
-/// Servers of which some say in their answers that they leave, while the platform's list says nothing of it.
-class LeavingServers : public LoadedServers {
+/// Servers of which some announce in their responses that they leave, while the platform's list does not show it.
+class ServersThatLeave : public LoadedServers {
 public:
     using LoadedServers::LoadedServers;
 
-    void say_it_leaves(size_t server)
+    void announce_leaving(size_t server)
     {
         this->runners[server]->say_it_leaves(true);
-        this->said_from[server] = AK::BootClock::now();
+        this->announced_at[server] = AK::BootClock::now();
     }
 
-    /// Requests that a caller sent later than the drain time after the host had been answered so, and that reached it
-    /// all the same.
-    [[nodiscard]] size_t arrived_too_late(size_t server)
+    /// Number of requests that reached the server although their caller sent them more than the drain time after the
+    /// host had got such a response.
+    [[nodiscard]] size_t late_arrival_count(size_t server)
     {
         auto const drain_time = this->hosts.platform.drain_time;
-        std::map<size_t, Instant> first_answers;
+        std::map<size_t, Instant> first_responses;
         size_t late = 0;
         for (auto const& arrival : this->arrivals_at(server)) {
-            if (arrival.moment < this->said_from[server])
+            if (arrival.moment < this->announced_at[server])
                 continue;
-            auto const first = first_answers.try_emplace(arrival.host, arrival.moment).first->second;
+            auto const first = first_responses.try_emplace(arrival.host, arrival.moment).first->second;
             if (arrival.sent_at > first + drain_time)
                 ++late;
         }
         return late;
     }
-    [[nodiscard]] bool was_said(size_t server) { return this->arrivals_since(server, this->said_from[server]) > 0; }
+    [[nodiscard]] bool has_announced(size_t server)
+    {
+        return this->arrivals_since(server, this->announced_at[server]) > 0;
+    }
 
 private:
-    std::map<size_t, Instant> said_from;
+    std::map<size_t, Instant> announced_at;
 };
 
 }
 
-// A server that said in all its answers that it leaves got work for as long as the platform's list had it.
+// Guards against a leaving server that gets new work for as long as the platform lists it, although it announces its
+// leaving in all its responses.
 SCENARIO("a host sends no new work to a server that has said in an answer that it leaves")
 {
-    LeavingServers servers(3, "lanes", "/lookup/7");
+    ServersThatLeave servers(3, "lanes", "/lookup/7");
     servers.apply_load(500ms);
-    GIVEN("a server that says so in answers to calls")
+    GIVEN("a server that announces it in responses to calls")
     {
-        servers.say_it_leaves(0);
+        servers.announce_leaving(0);
         servers.apply_load(2s);
-        THEN("it gets none from the drain time on, and all callers are served by the others")
+        THEN("it gets no new work after the drain time, and the others serve all callers")
         {
-            REQUIRE(servers.was_said(0));
-            CHECK(servers.arrived_too_late(0) == 0);
+            REQUIRE(servers.has_announced(0));
+            CHECK(servers.late_arrival_count(0) == 0);
             servers.await_responses();
             CHECK(servers.count_with_status(200) == servers.call_count());
             for (auto const& call : servers.all_calls())
                 CHECK(call->headers.count("Server-Leaving") == 0);
         }
     }
-    GIVEN("one that says so with the refusal of a call")
+    GIVEN("a server that announces it in a response that refuses a call")
     {
-        servers.say_it_leaves(0);
+        servers.announce_leaving(0);
         servers.runners[0]->turn_away("0.1");
         servers.apply_load(300ms);
         servers.runners[0]->turn_away({});
         servers.apply_load(1500ms);
-        THEN("it gets none either")
+        THEN("it gets no new work after the drain time")
         {
-            REQUIRE(servers.was_said(0));
-            CHECK(servers.arrived_too_late(0) == 0);
+            REQUIRE(servers.has_announced(0));
+            CHECK(servers.late_arrival_count(0) == 0);
         }
     }
-    GIVEN("one that says so while the platform is away")
+    GIVEN("a server that announces it while the platform is unavailable")
     {
         servers.hosts.platform.store.set_mode(PlatformStore::Mode::Silent);
-        servers.say_it_leaves(0);
+        servers.announce_leaving(0);
         servers.apply_load(2s);
-        THEN("it gets none either")
+        THEN("it gets no new work after the drain time")
         {
-            REQUIRE(servers.was_said(0));
-            CHECK(servers.arrived_too_late(0) == 0);
+            REQUIRE(servers.has_announced(0));
+            CHECK(servers.late_arrival_count(0) == 0);
         }
     }
-    GIVEN("one whose entry lapses and comes back as serving")
+    GIVEN("a server whose entry expires and returns as serving")
     {
-        servers.say_it_leaves(0);
+        servers.announce_leaving(0);
         servers.apply_load(300ms);
         auto const id = servers.runners[0]->id();
         servers.hosts.platform.store.remove("servers", id);
         servers.apply_load(300ms);
         servers.hosts.platform.store.put("servers", id, servers.runners[0]->row("lanes", LoadedServers::domain_of(0)));
         servers.apply_load(1500ms);
-        THEN("it is the same process, and leaves")
+        THEN("it is the same process and still leaving")
         {
-            REQUIRE(servers.was_said(0));
-            CHECK(servers.arrived_too_late(0) == 0);
+            REQUIRE(servers.has_announced(0));
+            CHECK(servers.late_arrival_count(0) == 0);
         }
     }
-    GIVEN("another process under its id, started later")
+    GIVEN("a new process under the id of a leaving one")
     {
-        servers.say_it_leaves(0);
+        servers.announce_leaving(0);
         servers.apply_load(300ms);
         servers.runners[0]->say_it_leaves(false);
         servers.runners[0]->set_start(1'790'000'500'000);
@@ -114,14 +118,14 @@
         servers.apply_load(300ms);
         auto const listed_at = AK::BootClock::now();
         servers.apply_load(1s);
-        THEN("that one serves") { CHECK(servers.arrivals_since(0, listed_at) > 0); }
+        THEN("the new process gets work") { CHECK(servers.arrivals_since(0, listed_at) > 0); }
     }
 }
 
 SCENARIO("a generation moves from an engine that has said in an answer that it leaves")
 {
-    LeavingServers servers(2, "models", "/drafts/2");
-    auto run_on = [&](Duration span) {
+    ServersThatLeave servers(2, "models", "/drafts/2");
+    auto run_with_events = [&](Duration span) {
         auto const end = AK::BootClock::now() + span;
         while (AK::BootClock::now() < end) {
             servers.hosts.run_for(50ms);
@@ -129,17 +133,17 @@
                 runner->make_events();
         }
     };
-    servers.say_it_leaves(0);
+    servers.announce_leaving(0);
     for (int i = 0; i < 4; ++i)
         servers.send(0);
-    run_on(1500ms);
-    REQUIRE(servers.was_said(0));
-    THEN("they go on elsewhere, nothing new comes, and callers see one stream")
+    run_with_events(1500ms);
+    REQUIRE(servers.has_announced(0));
+    THEN("they resume on another engine, the leaving one gets no new ones, and callers see one stream")
     {
         CHECK(servers.runners[0]->running_count() == 0);
         CHECK(servers.runners[1]->running_count() == 4);
         servers.send(0);
-        run_on(200ms);
+        run_with_events(200ms);
         CHECK(servers.runners[0]->running_count() == 0);
         for (auto const& call : servers.all_calls())
             CHECK_FALSE(call->is_over());
