--- a/Tests/Promises/TestConfigurationSpread.cpp
+++ b/Tests/Promises/TestConfigurationSpread.cpp
@@ -20,7 +20,7 @@
     return seen;
 }
 
-/// The revisions each process had in force, from its own events.
+/// The revisions that were in force at each process, according to its own events.
 static History::Record revisions_seen(TestFleet& fleet)
 {
     History::Record record;
@@ -45,14 +45,14 @@
     wait_until("revision 18 everywhere", [&] { return revisions(fleet) == std::set<u64> { 18 }; });
     CHECK(History::check_revisions_monotonic(revisions_seen(fleet)).empty());
 
-    WHEN("the platform is out")
+    WHEN("the platform is unavailable")
     {
         fleet.platform->set_fault(0, PlatformFault::Cut);
         THEN("callers are served on the last revision")
         {
             CHECK(fleet.caller().generate(0, "summary", "x [tokens=5]", 10s).outcome == "completed");
         }
-        THEN("a gateway that starts takes the configuration and the backend servers from its peers")
+        THEN("a starting gateway gets the configuration and the backend servers from its peers")
         {
             fleet.gateways[1].reset();
             fleet.start_gateway(1);
@@ -71,7 +71,7 @@
     }
 }
 
-SCENARIO("a host with neither platform nor peers is not ready and says so")
+SCENARIO("a host with neither platform nor peers reports that it is not ready")
 {
     TestFleet fleet({ .gateways = 1, .routers = 1 });
     fleet.platform->set_fault(0, PlatformFault::Cut);
@@ -79,7 +79,7 @@
     fleet.kill_router(0);
     fleet.start_gateway(0);
     auto& node = *fleet.gateways[0]->daemon.node;
-    wait_until("the platform to be asked", [&] {
+    wait_until("a request to the platform to fail", [&] {
         return std::ranges::any_of(node.events().latest(100),
             [](auto const& event) { return event.number == Core::EventNumber::PlatformUnavailable; });
     });
@@ -106,15 +106,17 @@
     wait_until("the gateway to be ready", [&] { return daemon.node->is_ready(); });
 }
 
-SCENARIO("a domain without the platform takes the configuration from another domain")
+SCENARIO("a domain without the platform gets the configuration from another domain")
 {
     TestFleet fleet({ .gateways = 1, .routers = 1 });
     fleet.platform->set_fault(0, PlatformFault::Cut);
-    auto cut_off = fleet.start_remote_router();
-    wait_until("the configuration",
-        [&] { return cut_off->on_loop([&] { return cut_off->node->configuration().revision() == Revision(8); }); });
-    CHECK(cut_off->node->is_ready());
-    CHECK(cut_off->on_loop([&] { return cut_off->node->members().others().empty(); }));
+    auto isolated_router = fleet.start_remote_router();
+    wait_until("the configuration", [&] {
+        return isolated_router->on_loop(
+            [&] { return isolated_router->node->configuration().revision() == Revision(8); });
+    });
+    CHECK(isolated_router->node->is_ready());
+    CHECK(isolated_router->on_loop([&] { return isolated_router->node->members().others().empty(); }));
 }
 
 SCENARIO("a key that is taken away opens nothing any more")
--- a/Tests/Promises/TestGenerations.cpp
+++ b/Tests/Promises/TestGenerations.cpp
@@ -23,10 +23,10 @@
     CHECK(violations.empty());
 }
 
-static bool has_begun(StandIns::FakeEngine& engine) { return !engine.history().empty(); }
+static bool has_started_work(StandIns::FakeEngine& engine) { return !engine.history().empty(); }
 
-/// An engine that has given out a token of the generation it runs.
-static bool has_given_token(StandIns::FakeEngine& engine)
+/// Whether an engine has produced a token.
+static bool has_produced_token(StandIns::FakeEngine& engine)
 {
     return engine.history().find("\"tokens\":[\"") != std::string::npos;
 }
@@ -44,7 +44,7 @@
     TestFleet fleet;
     auto results = fleet.generate(12, 60, [&] {
         for (auto& engine : fleet.engines)
-            wait_until("tokens to flow", [&] { return has_given_token(*engine); });
+            wait_until("tokens to flow", [&] { return has_produced_token(*engine); });
         for (int i = 0; i < 5; ++i) {
             for (auto& engine : fleet.engines)
                 engine->control("cut", {});
@@ -59,7 +59,7 @@
     TestFleet fleet;
     auto results = fleet.generate(6, 60, [&] {
         for (auto& engine : fleet.engines)
-            wait_until("tokens to flow", [&] { return has_given_token(*engine); });
+            wait_until("tokens to flow", [&] { return has_produced_token(*engine); });
         fleet.engines[0]->control("freeze", {});
         wait_until("a gateway to notice", [&] {
             return std::ranges::any_of(fleet.gateways, [](auto const& gateway) {
@@ -87,7 +87,7 @@
         });
         fleet.engines[0]->control("forget", {});
     });
-    THEN("the caller is told at once that it may have run, and gets no token of another")
+    THEN("the caller immediately gets the outcome may_have_run and no token of another generation")
     {
         CHECK(count_outcome(results, "may_have_run") == 4);
         for (auto const& result : results)
@@ -102,12 +102,13 @@
     for (auto& engine : fleet.engines)
         engine->control("scale", { { "factor", "2000" } });
     auto results = fleet.generate(1, 20, [&] {
-        wait_until("an engine to begin", [&] { return has_begun(*fleet.engines[0]) || has_begun(*fleet.engines[1]); });
-        auto holder = has_begun(*fleet.engines[0]) ? 0u : 1u;
+        wait_until("an engine to begin",
+            [&] { return has_started_work(*fleet.engines[0]) || has_started_work(*fleet.engines[1]); });
+        auto holder = has_started_work(*fleet.engines[0]) ? 0u : 1u;
         fleet.engines[1 - holder]->control("scale", { { "factor", "0.25" } });
         fleet.engines[holder]->control("forget", {});
     });
-    THEN("another engine gives the whole answer")
+    THEN("another engine produces the complete response")
     {
         CHECK(count_outcome(results, "completed") == 1);
         auto record = fleet.record(results);
@@ -122,7 +123,7 @@
     fleet.engines[0]->control("scale", { { "factor", "2000" } });
     GenerationResult result;
     std::thread waiting([&] { result = fleet.caller().generate(0, "summary", "x [tokens=20]", 2s); });
-    wait_until("the engine to begin", [&] { return has_begun(*fleet.engines[0]); });
+    wait_until("the engine to begin", [&] { return has_started_work(*fleet.engines[0]); });
     fleet.engines[0]->control("forget", {});
     waiting.join();
     THEN("the refusal does not say that it was not run")
@@ -135,7 +136,7 @@
 SCENARIO("a caller goes on through another gateway")
 {
     TestFleet fleet;
-    // The caller's own connection is cut by its side after some tokens, as when its gateway vanishes.
+    // The caller closes its connection after the first line of the stream, as when its gateway disappears.
     auto first = Address("127.0.0.1:" + std::to_string(fleet.gateways[0]->frontend.port()));
     std::string body = R"({"model":"summary","prompt":"Lane 4 [tokens=300]","stream":true})";
     auto session = Platform::connect_http(first, 5s);
@@ -160,15 +161,15 @@
     };
     WHEN("it is the caller's own")
     {
-        auto answer = resume("toll-key", token);
-        REQUIRE(answer.has_value());
-        CHECK(answer.value().status == 200);
-        THEN("the tokens go on where they stopped, to the end")
+        auto resumed = resume("toll-key", token);
+        REQUIRE(resumed.has_value());
+        CHECK(resumed.value().status == 200);
+        THEN("the tokens continue where they stopped, to the end")
         {
-            CHECK(answer.value().body.find("\"offset\":0,") == std::string::npos);
-            CHECK(answer.value().body.find("\"offset\":1}") != std::string::npos);
-            CHECK(answer.value().body.find("\"offset\":299}") != std::string::npos);
-            CHECK(answer.value().body.find("\"outcome\":\"completed\"") != std::string::npos);
+            CHECK(resumed.value().body.find("\"offset\":0,") == std::string::npos);
+            CHECK(resumed.value().body.find("\"offset\":1}") != std::string::npos);
+            CHECK(resumed.value().body.find("\"offset\":299}") != std::string::npos);
+            CHECK(resumed.value().body.find("\"outcome\":\"completed\"") != std::string::npos);
             CHECK(fleet.record({}).executions.size() == 1);
         }
     }
@@ -181,7 +182,7 @@
     TestFleet fleet;
     auto dead = fleet.owner();
     auto results = fleet.generate(20, 120, [&] {
-        wait_until("tokens to flow", [&] { return has_given_token(*fleet.engines[0]); });
+        wait_until("tokens to flow", [&] { return has_produced_token(*fleet.engines[0]); });
         fleet.kill_router(dead);
         wait_until("another owner", [&] { return fleet.owner() == 1 - dead; });
         auto more = fleet.generate(4, 10);
@@ -198,7 +199,7 @@
     std::atomic<int> refused { 0 };
     auto client = fleet.caller();
     auto running = fleet.generate(2, 40, [&] {
-        wait_until("the engine to be busy", [&] { return has_begun(*fleet.engines[0]); });
+        wait_until("the engine to be busy", [&] { return has_started_work(*fleet.engines[0]); });
         for (int i = 0; i < 5; ++i) {
             auto result = CallerClient(client).generate(0, "summary", std::string(2800, 'x'), 50ms);
             CHECK(result.outcome == "not_run");
--- a/Tests/Promises/TestSecureConnections.cpp
+++ b/Tests/Promises/TestSecureConnections.cpp
@@ -41,12 +41,12 @@
         request.setContentLength64(static_cast<Poco::Int64>(body.size()));
         session.sendRequest(request) << body << std::flush;
         Poco::Net::HTTPResponse response;
-        std::string answer;
-        Poco::StreamCopier::copyToString(session.receiveResponse(response), answer);
+        std::string response_body;
+        Poco::StreamCopier::copyToString(session.receiveResponse(response), response_body);
         CHECK(response.getStatus() == 200);
-        CHECK(answer.find("\"outcome\":\"completed\"") != std::string::npos);
+        CHECK(response_body.find("\"outcome\":\"completed\"") != std::string::npos);
     }
-    WHEN("a caller speaks without TLS")
+    WHEN("a caller connects without TLS")
     {
         Address plain("127.0.0.1:" + std::to_string(port));
         CHECK_FALSE(Platform::call_http(plain, { "GET", "/health/ready", "", {} }, 2s).has_value());
@@ -55,7 +55,7 @@
     {
         CHECK(OperatorClient(fleet.operator_address().value(), "viewer-key", certificate).get().has_value());
     }
-    WHEN("an operator speaks without TLS")
+    WHEN("an operator connects without TLS")
     {
         CHECK_FALSE(OperatorClient(fleet.operator_address().value(), "viewer-key", "").get().has_value());
     }
--- a/Tests/Promises/TestServiceCalls.cpp
+++ b/Tests/Promises/TestServiceCalls.cpp
@@ -31,12 +31,12 @@
 SCENARIO("a call that must not be repeated runs at most once")
 {
     TestFleet fleet;
-    WHEN("all is well")
+    WHEN("no fault occurs")
     {
         CHECK(charge(fleet).outcome == "completed");
         CHECK(executions(fleet) == 1);
     }
-    WHEN("the answer is lost after it ran")
+    WHEN("the response is lost after it ran")
     {
         for (auto& service : fleet.services)
             service->set_fault(ServiceFault::LoseAnswer);
@@ -45,14 +45,14 @@
         CHECK(result.status == 502);
         CHECK(executions(fleet) == 1);
     }
-    WHEN("the connection ends before it ran, which nobody can tell")
+    WHEN("the connection ends before it ran, which the gateway cannot know")
     {
         for (auto& service : fleet.services)
             service->set_fault(ServiceFault::HangUpBefore);
         CHECK(charge(fleet).outcome == "may_have_run");
         CHECK(executions(fleet) == 0);
     }
-    WHEN("a server turns it away")
+    WHEN("a server rejects it")
     {
         fleet.services[0]->set_fault(ServiceFault::TurnAway);
         THEN("another one runs it, once")
@@ -61,7 +61,7 @@
             CHECK(executions(fleet) == 1);
         }
     }
-    WHEN("every server turns it away")
+    WHEN("every server rejects it")
     {
         for (auto& service : fleet.services)
             service->set_fault(ServiceFault::TurnAway);
@@ -93,7 +93,7 @@
     CHECK(executions(fleet) == 1);
     CHECK(charge(fleet, "sale-2", 1).outcome == "completed");
 
-    WHEN("the platform's answer to the claim is lost")
+    WHEN("the platform's response to the claim is lost")
     {
         fleet.platform->set_fault(0, PlatformFault::LoseAnswers, 3);
         auto result = charge(fleet, "sale-3");
@@ -104,11 +104,11 @@
             CHECK((result.outcome == "completed") == (ran == 1));
         }
     }
-    WHEN("the platform is out")
+    WHEN("the platform is unavailable")
     {
         fleet.platform->set_fault(0, PlatformFault::Unavailable);
         auto keyed = charge(fleet, "sale-4");
-        THEN("a call with a key is refused as not run, and everything else goes on")
+        THEN("a call with a key is refused as not run, and other calls are served")
         {
             CHECK(keyed.outcome == "not_run");
             CHECK(keyed.status == 503);
@@ -121,14 +121,14 @@
             CHECK(charge(fleet, "sale-4").outcome == "completed");
         }
     }
-    WHEN("the call truly did not run")
+    WHEN("the call did not run")
     {
         for (auto& service : fleet.services)
             service->set_fault(ServiceFault::TurnAway);
         CHECK(charge(fleet, "sale-5").outcome == "not_run");
         for (auto& service : fleet.services)
             service->set_fault(ServiceFault::None);
-        THEN("its key is given back")
+        THEN("its key is released")
         {
             wait_until("the key to be free", [&] { return charge(fleet, "sale-5").outcome == "completed"; });
         }
--- a/Tests/Promises/TestWholeSession.cpp
+++ b/Tests/Promises/TestWholeSession.cpp
@@ -15,7 +15,7 @@
 
 static std::string const golden_path = std::string(LILAC_SOURCE_DIRECTORY) + "/Tests/Golden/whole-session.txt";
 
-/// Replaces what differs between runs: ids that are drawn, times, and addresses.
+/// Replaces the text that differs between runs: random ids, times and addresses.
 static std::string normalised(std::string text)
 {
     static std::vector<std::pair<std::regex, std::string>> const rules {
@@ -29,6 +29,7 @@
     return text;
 }
 
+/// A transcript of the calls of a session, with its gateway.
 class Session {
 public:
     explicit Session(TestFleet& fleet)
@@ -36,24 +37,24 @@
     {
     }
 
-    void say(std::string const& line) { this->transcript << line << '\n'; }
+    void write_line(std::string const& line) { this->transcript << line << '\n'; }
 
-    /// Makes a caller's request and writes down both sides.
+    /// Sends a caller's request and records the request and the response.
     void call(std::string const& method, std::string const& path, std::string const& key, std::string const& body)
     {
-        this->say("> " + method + ' ' + path + (key.empty() ? "" : " as " + key) + ' ' + body);
-        Platform::HttpRequest question { method, path, body, {} };
+        this->write_line("> " + method + ' ' + path + (key.empty() ? "" : " as " + key) + ' ' + body);
+        Platform::HttpRequest request { method, path, body, {} };
         if (!key.empty())
-            question.headers["Authorization"] = "Bearer " + key;
-        auto answer = Platform::call_http(this->gateway, question, 30s);
-        REQUIRE(answer.has_value());
-        this->say("< " + std::to_string(answer.value().status));
+            request.headers["Authorization"] = "Bearer " + key;
+        auto response = Platform::call_http(this->gateway, request, 30s);
+        REQUIRE(response.has_value());
+        this->write_line("< " + std::to_string(response.value().status));
         for (auto const* header : { "Content-Type", "Lilactiller-Outcome", "Retry-After" }) {
-            auto found = answer.value().headers.find(header);
-            if (found != answer.value().headers.end())
-                this->say(std::string("< ") + header + ": " + found->second);
+            auto found = response.value().headers.find(header);
+            if (found != response.value().headers.end())
+                this->write_line(std::string("< ") + header + ": " + found->second);
         }
-        this->say(answer.value().body);
+        this->write_line(response.value().body);
     }
 
     std::ostringstream transcript;
@@ -67,18 +68,18 @@
     return Configuration::from_json<wire::Change>(json).value();
 }
 
-static void operate(Session& session, TestFleet& fleet)
+static void run_operator_calls(Session& session, TestFleet& fleet)
 {
     auto address = fleet.operator_address().value();
     OperatorClient vesela(address, "editor-key", "");
     OperatorClient dimitar(address, "viewer-key", "");
     auto apply = [&](OperatorClient& client, std::string const& name, std::string const& json, std::string const& id,
                      u64 expected) {
-        session.say("operator " + name + " applies " + id + ": " + json);
+        session.write_line("operator " + name + " applies " + id + ": " + json);
         auto reply = client.apply(change_from(json), id, expected);
-        session.say(reply ? "  revision " + std::to_string(reply.value().revision())
+        session.write_line(reply ? "  revision " + std::to_string(reply.value().revision())
                     + (reply.value().repeated() ? " (accepted before)" : "")
-                          : "  " + reply.error().message);
+                                 : "  " + reply.error().message);
     };
     auto const* route = R"({"putRoute":{"organisation":"hanak","name":"why-refused","model":"writer"}})";
     apply(vesela, "vesela", route, "c-1", 0);
@@ -92,7 +93,7 @@
         return watched.size() < 2;
     });
     CHECK(result.has_value());
-    session.say(
+    session.write_line(
         "operator vesela watches from 7: " + std::to_string(watched.at(0)) + ' ' + std::to_string(watched.at(1)));
     wait_until("the change at the gateway and the router", [&] {
         auto& gateway = fleet.gateways[0]->daemon;
@@ -111,7 +112,7 @@
             generation = event.subject;
     }
     std::map<std::string, std::vector<std::string>> by_member;
-    wait_until("the whole time line", [&] {
+    wait_until("the complete timeline", [&] {
         by_member.clear();
         auto reply = vesela.explain(generation);
         REQUIRE(reply.has_value());
@@ -121,19 +122,19 @@
                 + event.text());
         return by_member["gateway-0"].size() == 3 && by_member["router-0"].size() == 2;
     });
-    session.say("operator vesela has the first generation explained");
+    session.write_line("operator vesela has the first generation explained");
     for (auto const& [member, lines] : by_member) {
-        session.say(" " + member);
+        session.write_line(" " + member);
         for (auto const& line : lines)
-            session.say(line);
+            session.write_line(line);
     }
 }
 
-SCENARIO("a whole session reads as it always did")
+SCENARIO("a session of callers and operators matches the recorded transcript")
 {
     TestFleet fleet({ .gateways = 1, .routers = 1, .engines = 1, .services = 1 });
     fleet.start_operator();
-    wait_until("the operators' side to know the others", [&] {
+    wait_until("the operator server to know the gateway and the router", [&] {
         auto& daemon = *fleet.operator_server;
         return daemon.on_loop([&] {
             return daemon.node->members().others().size() == 2
@@ -141,7 +142,7 @@
         });
     });
     Session session(fleet);
-    operate(session, fleet);
+    run_operator_calls(session, fleet);
     session.call("POST", "/v1/completions", "hanak-key",
         R"({"model":"why-refused","prompt":"Why was the card refused? [tokens=4]","stream":true})");
     session.call("POST", "/v1/completions", "hanak-key", R"({"model":"why-refused","prompt":"Why? [tokens=3]"})");
