--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -31,7 +31,7 @@
         return "complete";
     case ExchangeEnd::NotConnected:
         return "not_connected";
-    case ExchangeEnd::NoAnswer:
+    case ExchangeEnd::NoResponse:
         return "no_answer";
     case ExchangeEnd::Truncated:
         return "truncated";
@@ -128,7 +128,7 @@
 void BackendConnection::head_arrived(beast::error_code error)
 {
     if (error)
-        return this->fail(is_malformed(error) ? ExchangeEnd::Malformed : ExchangeEnd::NoAnswer, error);
+        return this->fail(is_malformed(error) ? ExchangeEnd::Malformed : ExchangeEnd::NoResponse, error);
     auto number = this->exchange_number;
     auto current = this->observer;
     // An informational answer (100 to 199) is followed by the real one.
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -23,7 +23,7 @@
     /// The connection could not be made; no byte of the request left.
     NotConnected,
     /// The connection ended before a whole answer head was read. The request may have run.
-    NoAnswer,
+    NoResponse,
     /// The answer broke off in its body.
     Truncated,
     /// What came is no HTTP answer.
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -211,7 +211,7 @@
         if (!this->connection)
             return;
         this->connection->cancel();
-        this->exchange_ended(Http::ExchangeEnd::NoAnswer, std::string(replaced_reason));
+        this->exchange_ended(Http::ExchangeEnd::NoResponse, std::string(replaced_reason));
     }
 
     void exchange_ended(Http::ExchangeEnd end, std::string const& reason)
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -104,7 +104,7 @@
         bool const is_unreachable = end == Http::ExchangeEnd::NotConnected;
         // The server may have closed a persistent connection that was idle. A new connection that ends without a
         // response counts like a failed connect: the backend server is down or has no capacity for connections.
-        bool const is_rejected = end == Http::ExchangeEnd::NoAnswer && this->is_on_new_connection;
+        bool const is_rejected = end == Http::ExchangeEnd::NoResponse && this->is_on_new_connection;
         this->suspect(*used, is_unreachable || is_rejected, reason);
         if (!is_unreachable)
             this->check_for_termination(used, Http::describe(end, reason));
@@ -118,7 +118,7 @@
     void backend_terminated()
     {
         this->connection->cancel();
-        this->exchange_ended(Http::ExchangeEnd::NoAnswer, std::string(replaced_reason));
+        this->exchange_ended(Http::ExchangeEnd::NoResponse, std::string(replaced_reason));
     }
 
     void response_received(Backend& used)
--- a/Tests/LibHttp/TestBackendConnection.cpp
+++ b/Tests/LibHttp/TestBackendConnection.cpp
@@ -100,7 +100,7 @@
     {
         peer.script("", ScriptedPeer::Then::Close);
         ask(pool.acquire(peer.endpoint()));
-        CHECK(collected.end == ExchangeEnd::NoAnswer);
+        CHECK(collected.end == ExchangeEnd::NoResponse);
     }
     GIVEN("nobody at the address")
     {
