--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -135,7 +135,7 @@
     auto const& head = this->parser->get();
     constexpr unsigned first_final_status = 200;
     bool const is_informational = head.result_int() < first_final_status;
-    this->skipping = is_informational || current->head(head) == HeadVerdict::Skip;
+    this->skipping = is_informational || current->head(head) == HeadAction::Skip;
     if (number != this->exchange_number || !this->in_exchange)
         return;
     this->note_idle_limit(this->parser->get());
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -35,7 +35,7 @@
 std::string describe(ExchangeEnd, std::string const& reason);
 
 /// What to do with an answer whose head has arrived.
-enum class HeadVerdict : u8 {
+enum class HeadAction : u8 {
     Take,
     /// It belongs to an earlier request on this connection; read on until the next answer.
     Skip,
@@ -43,7 +43,7 @@
 
 /// Called as an answer arrives. Nothing is called after `ended`, or after cancel().
 struct ExchangeObserver {
-    std::function<HeadVerdict(ResponseHead const&)> head;
+    std::function<HeadAction(ResponseHead const&)> head;
     std::function<void(std::string_view)> body;
     std::function<void(ExchangeEnd, std::string const& reason)> ended;
 };
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -131,20 +131,20 @@
 
     // --- response
 
-    Http::HeadVerdict head_received(Http::ResponseHead const& head)
+    Http::HeadAction head_received(Http::ResponseHead const& head)
     {
         if (!this->template accept_response_head<D>(*this->backend, head))
-            return Http::HeadVerdict::Skip;
+            return Http::HeadAction::Skip;
         this->response_is_framed
             = head.count(Http::Name::transfer_encoding) > 0 || head.count(Http::Name::content_length) > 0;
         if (!this->is_relayed_stream())
-            return Http::HeadVerdict::Take;
+            return Http::HeadAction::Take;
         record_success(*this->backend);
         if (this->move)
             this->continued();
         else if (!this->exchange().is_streaming())
             this->begin_stream(head);
-        return Http::HeadVerdict::Take;
+        return Http::HeadAction::Take;
     }
 
     /// Whether the current response is an event stream that is relayed to the caller.
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -90,10 +90,10 @@
             [self](Http::ExchangeEnd end, std::string const& reason) { self->exchange_ended(end, reason); } };
     }
 
-    Http::HeadVerdict head_received(Http::ResponseHead const& head)
+    Http::HeadAction head_received(Http::ResponseHead const& head)
     {
-        return this->template accept_response_head<D>(*this->backend, head) ? Http::HeadVerdict::Take
-                                                                            : Http::HeadVerdict::Skip;
+        return this->template accept_response_head<D>(*this->backend, head) ? Http::HeadAction::Take
+                                                                            : Http::HeadAction::Skip;
     }
 
     void exchange_ended(Http::ExchangeEnd end, std::string const& reason)
--- a/Tests/LibHttp/ScriptedPeer.h
+++ b/Tests/LibHttp/ScriptedPeer.h
@@ -103,9 +103,9 @@
         return {
             [this](ResponseHead const& head) {
                 if (!this->skip_unless.empty() && head["X-For"] != this->skip_unless)
-                    return HeadVerdict::Skip;
+                    return HeadAction::Skip;
                 this->status = head.result_int();
-                return HeadVerdict::Take;
+                return HeadAction::Take;
             },
             [this](std::string_view piece) { this->body += piece; },
             [this](ExchangeEnd how, std::string const&) { this->end = how; },
