--- a/Libraries/LibServing/EnginePoller.h
+++ b/Libraries/LibServing/EnginePoller.h
@@ -135,7 +135,7 @@
         Http::ExchangeObserver observer {
             [response_head](Http::ResponseHead const& head) {
                 *response_head = D::decode_response(head);
-                return Http::HeadAction::Take;
+                return Http::HeadAction::Accept;
             },
             [body](std::string_view piece) { *body += piece; },
             [this, backend, body, response_head, timeout, has_response, connection](
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -138,13 +138,13 @@
         this->response_is_framed
             = head.count(Http::Name::transfer_encoding) > 0 || head.count(Http::Name::content_length) > 0;
         if (!this->is_relayed_stream())
-            return Http::HeadAction::Take;
+            return Http::HeadAction::Accept;
         record_success(*this->backend);
         if (this->move)
             this->continued();
         else if (!this->exchange().is_streaming())
             this->begin_stream(head);
-        return Http::HeadAction::Take;
+        return Http::HeadAction::Accept;
     }
 
     /// Whether the current response is an event stream that is relayed to the caller.
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -159,7 +159,7 @@
             [self](Http::ResponseHead const& head) {
                 self->response_status = head.result_int();
                 apply_server_notice(self->context, *self->inputs.source, D::decode_response(head));
-                return Http::HeadAction::Take;
+                return Http::HeadAction::Accept;
             },
             [self](std::string_view piece) { self->response_body += piece; },
             [self, is_last](Http::ExchangeEnd end, std::string const& reason) {
@@ -337,7 +337,7 @@
         Http::ExchangeObserver observer {
             [&context = this->context, source = this->inputs.source](Http::ResponseHead const& head) {
                 apply_server_notice(context, *source, D::decode_response(head));
-                return Http::HeadAction::Take;
+                return Http::HeadAction::Accept;
             },
             [](std::string_view) {},
             // A failed request needs no retry: the engine frees the copy when its lifetime expires.
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -92,7 +92,7 @@
 
     Http::HeadAction head_received(Http::ResponseHead const& head)
     {
-        return this->template accept_response_head<D>(*this->backend, head) ? Http::HeadAction::Take
+        return this->template accept_response_head<D>(*this->backend, head) ? Http::HeadAction::Accept
                                                                             : Http::HeadAction::Skip;
     }
 
--- a/Tests/LibHttp/ScriptedPeer.h
+++ b/Tests/LibHttp/ScriptedPeer.h
@@ -105,7 +105,7 @@
                 if (!this->skip_unless.empty() && head["X-For"] != this->skip_unless)
                     return HeadAction::Skip;
                 this->status = head.result_int();
-                return HeadAction::Take;
+                return HeadAction::Accept;
             },
             [this](std::string_view piece) { this->body += piece; },
             [this](ExchangeEnd how, std::string const&) { this->end = how; },
--- a/Tests/LibHttp/TestBackendConnection.cpp
+++ b/Tests/LibHttp/TestBackendConnection.cpp
@@ -117,7 +117,7 @@
         bool was_alive_after_cancel = false;
         std::weak_ptr<std::string> watch = owner;
         Http::ExchangeObserver observer {
-            [](Http::ResponseHead const&) { return HeadAction::Take; },
+            [](Http::ResponseHead const&) { return HeadAction::Accept; },
             [owner, connection, &watch, &was_alive_after_cancel](std::string_view) {
                 // Taken out of the closure first, which must not be looked at if it has gone.
                 auto& still_watched = watch;
--- a/Tests/Platform/HostFixture.h
+++ b/Tests/Platform/HostFixture.h
@@ -147,7 +147,7 @@
                 call->status = head.result_int();
                 for (auto const& field : head)
                     call->headers[std::string(field.name_string())] = std::string(field.value());
-                return Http::HeadAction::Take;
+                return Http::HeadAction::Accept;
             },
             [call](std::string_view piece) { call->body += piece; },
             [call](Http::ExchangeEnd end, std::string const&) { call->end = end; },
--- a/Tests/Soak/Caller.cpp
+++ b/Tests/Soak/Caller.cpp
@@ -185,7 +185,7 @@
         [response](Http::ResponseHead const& head) {
             response->status = head.result_int();
             response->has_stamp = head.count("Lilactiller-Response-Stamp") > 0;
-            return Http::HeadAction::Take;
+            return Http::HeadAction::Accept;
         },
         [response](std::string_view piece) { response->body += piece; },
         [response, finish](Http::ExchangeEnd end, std::string const& reason) {
