--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -36,7 +36,7 @@
 
 /// What to do with an answer whose head has arrived.
 enum class HeadAction : u8 {
-    Take,
+    Accept,
     /// It belongs to an earlier request on this connection; read on until the next answer.
     Skip,
 };
