--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -22,7 +22,7 @@
     return std::exchange(this->connection, nullptr);
 }
 
-void Exchange::answer(Response response)
+void Exchange::respond(Response response)
 {
     if (!this->connection)
         return;
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -270,7 +270,7 @@
         this->context.log.event(Core::EventNumber::StreamEnded, this->attempt())
             .with("engine", this->backend->server.id)
             .with("status", this->response_status());
-        this->exchange().answer(this->template make_relayed_response<D>());
+        this->exchange().respond(this->template make_relayed_response<D>());
     }
 
     /// `is_free` is set when the last dispatch reached no engine. The next one then takes nothing from the retry
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -139,7 +139,7 @@
     {
         auto context = std::make_shared<Http::CallerContext>();
         context->on_request = [page = std::move(page)](std::shared_ptr<Http::Exchange> const& exchange) {
-            exchange->answer(page(exchange->request()));
+            exchange->respond(page(exchange->request()));
         };
         return context;
     }
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -112,7 +112,7 @@
             .with("organisation", this->call.organisation)
             .with("held_ms", this->elapsed())
             .with("reason", error.message);
-        this->exchange().answer(error_response(error, outcome));
+        this->exchange().respond(error_response(error, outcome));
     }
 
     /// Clears the response of the previous dispatch. To be called before each dispatch.
--- a/Libraries/LibServing/RequestHandler.h
+++ b/Libraries/LibServing/RequestHandler.h
@@ -125,7 +125,7 @@
             .with("status", status)
             .with("revision", this->context.routing ? this->context.routing->revision() : Revision(0))
             .with("reason", error.message);
-        exchange.answer(error_response(error, outcome));
+        exchange.respond(error_response(error, outcome));
     }
 
     ServingContext& context;
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -157,7 +157,7 @@
             .with("tries", this->dispatches)
             .with("held_ms", this->elapsed());
         this->end();
-        this->exchange().answer(std::move(response));
+        this->exchange().respond(std::move(response));
     }
 
     [[nodiscard]] bool may_run_again() const
--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -96,17 +96,17 @@
     if (request.target() == "/kv-move")
         return this->copy(*exchange);
     if (request.target().starts_with("/kv-handle/"))
-        return exchange->answer(Http::Response(Http::Status::ok, Http::http_1_1));
+        return exchange->respond(Http::Response(Http::Status::ok, Http::http_1_1));
     this->note(request);
     if (request[target_header] != this->name) {
         Http::Response response(Http::Status::misdirected_request, Http::http_1_1);
         response.set(instance_header, this->name);
-        return exchange->answer(std::move(response));
+        return exchange->respond(std::move(response));
     }
     if (this->on_received)
         this->on_received(this->requests.back());
     if (this->back_off) {
-        exchange->answer(this->refusal());
+        exchange->respond(this->refusal());
         if (this->on_turned_away)
             this->on_turned_away(this->requests.back());
         return;
@@ -131,10 +131,10 @@
     auto const& request = exchange->request();
     switch (fault) {
     case Fault::NotRun:
-        exchange->answer(this->refusal());
+        exchange->respond(this->refusal());
         return true;
     case Fault::Misdirected:
-        exchange->answer(Http::Response(Http::Status::misdirected_request, Http::http_1_1));
+        exchange->respond(Http::Response(Http::Status::misdirected_request, Http::http_1_1));
         return true;
     case Fault::LoseAnswer:
         this->count_run(request);
@@ -142,11 +142,11 @@
         return true;
     case Fault::Fail:
         this->count_run(request);
-        exchange->answer(this->signed_answer(request, Http::Status::internal_server_error));
+        exchange->respond(this->signed_answer(request, Http::Status::internal_server_error));
         return true;
     case Fault::Unsigned:
         this->count_run(request);
-        exchange->answer(Http::Response(Http::Status::ok, Http::http_1_1));
+        exchange->respond(Http::Response(Http::Status::ok, Http::http_1_1));
         return true;
     case Fault::Hang:
         this->count_run(request);
@@ -165,7 +165,7 @@
         return this->end_under(exchange);
     auto const events_before = this->take_copy(request);
     if (!events_before)
-        return exchange->answer(this->signed_answer(request, Http::Status::service_unavailable));
+        return exchange->respond(this->signed_answer(request, Http::Status::service_unavailable));
     if (request.count(usage_header) > 0)
         return this->begin_generation(exchange, *events_before);
     auto response = this->signed_answer(request, Http::Status::ok);
@@ -201,11 +201,11 @@
 void PlatformRunner::answer_plain(std::shared_ptr<Http::Exchange> const& exchange, Http::Response response)
 {
     if (this->work_time == 0s)
-        return exchange->answer(std::move(response));
+        return exchange->respond(std::move(response));
     auto timer = std::make_shared<AK::Timer>(this->loop, this->work_time);
     timer->async_wait([timer, exchange, response = std::move(response)](boost::system::error_code error) mutable {
         if (!error)
-            exchange->answer(std::move(response));
+            exchange->respond(std::move(response));
     });
 }
 
@@ -270,7 +270,7 @@
     this->ordered_copies.push_back(attempt);
     auto found = this->generations.find(attempt);
     if (found == this->generations.end())
-        return exchange.answer(Http::Response(Http::Status::not_found, Http::http_1_1));
+        return exchange.respond(Http::Response(Http::Status::not_found, Http::http_1_1));
     auto handle = "copy-of-" + attempt;
     auto made = found->second.events_made;
     if (order.contains("last")) {
@@ -282,7 +282,7 @@
         = !this->on_copy || this->on_copy(std::string(order.at("target_version").as_string()), handle, made);
     Http::Response response(is_taken ? Http::Status::ok : Http::Status::service_unavailable, Http::http_1_1);
     response.body() = Json::serialize(Json::object { { "handle", handle }, { "made", made } });
-    exchange.answer(std::move(response));
+    exchange.respond(std::move(response));
 }
 
 void PlatformRunner::answer_report(Http::Exchange& exchange)
@@ -297,7 +297,7 @@
     Http::Response response(Http::Status::ok, Http::http_1_1);
     this->put_notice(response);
     response.body() = Json::serialize(report);
-    exchange.answer(std::move(response));
+    exchange.respond(std::move(response));
 }
 
 }
--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -102,7 +102,7 @@
     Http::Response response(status, Http::http_1_1);
     response.set(Http::Name::content_type, "application/json");
     response.body() = std::move(body);
-    exchange.answer(std::move(response));
+    exchange.respond(std::move(response));
 }
 
 void PlatformStore::take(std::shared_ptr<Http::Exchange> const& exchange)
--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -60,7 +60,7 @@
     void answer_all()
     {
         for (auto const& exchange : this->waiting)
-            exchange->answer(Response(Status::ok, http_1_1));
+            exchange->respond(Response(Status::ok, http_1_1));
         this->waiting.clear();
     }
 
