--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -30,7 +30,7 @@
     void on_caller_left(std::function<void()> observer) { this->caller_left = std::move(observer); }
 
     /// Sends a whole answer.
-    void answer(Response);
+    void respond(Response);
     /// Starts an answer whose body comes in pieces of unknown number.
     void begin_stream(ResponseHead const&);
     void send_piece(std::string_view);
