--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -37,7 +37,7 @@
     this->connection->send_stream_head(head);
 }
 
-void Exchange::send_piece(std::string_view piece)
+void Exchange::send_chunk(std::string_view piece)
 {
     // An empty chunk would end the body.
     if (this->connection && !piece.empty())
--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -33,7 +33,7 @@
     void respond(Response);
     /// Starts an answer whose body comes in pieces of unknown number.
     void begin_stream(ResponseHead const&);
-    void send_piece(std::string_view);
+    void send_chunk(std::string_view);
     /// Ends the stream so that the answer is complete.
     void end_stream();
     /// Closes the connection, so that the answer cannot look complete.
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -190,7 +190,7 @@
         this->max_gap = std::max(this->max_gap, now - this->last_event_at);
         this->last_event_at = now;
         this->claim->grow(this->traits().tokens_per_event);
-        this->exchange().send_piece(event.text);
+        this->exchange().send_chunk(event.text);
     }
 
     void first_event(Instant now)
--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -221,7 +221,7 @@
 {
     for (auto& [attempt, generation] : this->generations) {
         ++generation.events_made;
-        generation.exchange->send_piece(
+        generation.exchange->send_chunk(
             "id: " + std::to_string(generation.events_made) + "\ndata: token of " + attempt + "\n\n");
     }
     if (!this->planned_events)
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -171,7 +171,7 @@
         std::string const piece(64 << 10, 'x');
         // A socket's buffers take a few megabytes; what is beyond them waits here.
         for (size_t i = 0; i < 1000 && !is_told; ++i)
-            exchange->send_piece(piece);
+            exchange->send_chunk(piece);
         CHECK(is_told);
         CHECK(fixture.closes.back().reason == Http::CloseReason::TooMuchWaiting);
     }
