--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -49,7 +49,7 @@
     /// Counts the request towards the retry budget, and starts to watch for its caller's disconnect and its deadline.
     void begin(std::function<void()> on_caller_disconnected, std::function<void()> on_deadline)
     {
-        this->exchange().on_caller_left(std::move(on_caller_disconnected));
+        this->exchange().on_caller_disconnected(std::move(on_caller_disconnected));
         this->deadline_timer.expires_at(this->call.deadline);
         this->deadline_timer.async_wait([this, on_deadline = std::move(on_deadline)](boost::system::error_code error) {
             // cancel() doesn't stop a handler whose timer expired in the event loop iteration in which the request
--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -151,7 +151,7 @@
     case Fault::Hang:
         this->count_run(request);
         this->hanging.push_back(exchange);
-        exchange->on_caller_left([this] { ++this->dropped; });
+        exchange->on_caller_disconnected([this] { ++this->dropped; });
         return true;
     }
     return false;
@@ -190,7 +190,7 @@
     auto attempt = std::string(request[attempt_header]);
     auto response = this->signed_answer(request, Http::Status::ok);
     response.set(Http::Name::content_type, "text/event-stream");
-    exchange->on_caller_left([this, attempt] {
+    exchange->on_caller_disconnected([this, attempt] {
         this->generations.erase(attempt);
         ++this->dropped;
     });
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -156,7 +156,7 @@
     fixture.wait_for_taken(1);
     bool is_told = false;
     auto exchange = fixture.waiting.front();
-    exchange->on_caller_left([&] { is_told = true; });
+    exchange->on_caller_disconnected([&] { is_told = true; });
 
     WHEN("the caller has left")
     {
--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -55,7 +55,7 @@
         bool is_told = false;
         caller.send(KeptCaller::get_request);
         fixture.wait_for_taken(2);
-        fixture.waiting.front()->on_caller_left([&] { is_told = true; });
+        fixture.waiting.front()->on_caller_disconnected([&] { is_told = true; });
         caller.send(KeptCaller::get_request);
         fixture.settle();
         fixture.callers.clear();
