--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -27,7 +27,7 @@
     [[nodiscard]] bool is_streaming() const { return this->streaming; }
 
     /// Called once if the caller leaves before its answer is complete.
-    void on_caller_left(std::function<void()> observer) { this->caller_left = std::move(observer); }
+    void on_caller_disconnected(std::function<void()> observer) { this->caller_left = std::move(observer); }
 
     /// Sends a whole answer.
     void respond(Response);
