--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -18,7 +18,7 @@
 
 std::shared_ptr<CallerConnection> Exchange::take_connection()
 {
-    this->caller_left = nullptr;
+    this->caller_disconnected = nullptr;
     return std::exchange(this->connection, nullptr);
 }
 
@@ -60,7 +60,7 @@
 {
     if (!this->connection)
         return;
-    auto observer = std::move(this->caller_left);
+    auto observer = std::move(this->caller_disconnected);
     this->take_connection();
     if (observer)
         observer();
--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -27,7 +27,7 @@
     [[nodiscard]] bool is_streaming() const { return this->streaming; }
 
     /// Called once if the caller leaves before its answer is complete.
-    void on_caller_disconnected(std::function<void()> observer) { this->caller_left = std::move(observer); }
+    void on_caller_disconnected(std::function<void()> observer) { this->caller_disconnected = std::move(observer); }
 
     /// Sends a whole answer.
     void respond(Response);
@@ -48,7 +48,7 @@
     Request taken;
     Instant received;
     bool streaming { false };
-    std::function<void()> caller_left;
+    std::function<void()> caller_disconnected;
 };
 
 }
