--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -81,7 +81,7 @@
 
 void CallerConnection::became_readable()
 {
-    if (this->phase != ConnectionPhase::BetweenRequests && this->phase != ConnectionPhase::Answering)
+    if (this->phase != ConnectionPhase::BetweenRequests && this->phase != ConnectionPhase::Responding)
         return;
     // A wait may also end by an event of a closed socket whose place in the reactor this one has taken.
     auto readable = peek(this->socket);
@@ -192,7 +192,7 @@
 
 void CallerConnection::refuse(Status status, std::string const& reason)
 {
-    this->enter(ConnectionPhase::Answering);
+    this->enter(ConnectionPhase::Responding);
     this->timer.cancel();
     this->keep_alive = false;
     if (this->context->on_refused_bytes)
@@ -205,7 +205,7 @@
 
 void CallerConnection::deliver()
 {
-    this->enter(ConnectionPhase::Answering);
+    this->enter(ConnectionPhase::Responding);
     this->timer.cancel();
     ++this->requests_taken;
     this->keep_alive = this->parser->get().keep_alive();
--- a/Libraries/LibHttp/ConnectionPhase.cpp
+++ b/Libraries/LibHttp/ConnectionPhase.cpp
@@ -18,7 +18,7 @@
         return "reading_head";
     case ConnectionPhase::ReadingBody:
         return "reading_body";
-    case ConnectionPhase::Answering:
+    case ConnectionPhase::Responding:
         return "answering";
     case ConnectionPhase::Closed:
         return "closed";
--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -60,7 +60,7 @@
         fixture.settle();
         fixture.callers.clear();
         ::Test::run_until(fixture.loop, [&] { return is_told; });
-        CHECK(fixture.closes[0].phase == Http::ConnectionPhase::Answering);
+        CHECK(fixture.closes[0].phase == Http::ConnectionPhase::Responding);
     }
     CHECK(fixture.context->open_requests == 0);
 }
