--- a/Libraries/LibHttp/ConnectionPhase.h
+++ b/Libraries/LibHttp/ConnectionPhase.h
@@ -19,7 +19,7 @@
     ReadingHead,
     ReadingBody,
     /// A request has been read or refused, and its answer is not complete.
-    Answering,
+    Responding,
     Closed,
 };
 
