--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -304,7 +304,7 @@
         return this->await_request();
     boost::system::error_code ignored;
     this->socket.shutdown(tcp::socket::shutdown_send, ignored);
-    this->close(CloseReason::Answered);
+    this->close(CloseReason::ResponseSent);
 }
 
 void CallerConnection::close(CloseReason reason)
--- a/Libraries/LibHttp/ConnectionPhase.cpp
+++ b/Libraries/LibHttp/ConnectionPhase.cpp
@@ -29,7 +29,7 @@
 std::string_view to_string(CloseReason reason)
 {
     switch (reason) {
-    case CloseReason::Answered:
+    case CloseReason::ResponseSent:
         return "answered";
     case CloseReason::EndedByCaller:
         return "ended_by_caller";
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -308,7 +308,7 @@
     {
         auto reason = std::string(to_string(close.reason));
         this->context.metrics.add("caller_connections_closed_total{reason=\"" + reason + "\"}");
-        bool const is_ordinary = close.reason == Http::CloseReason::Answered
+        bool const is_ordinary = close.reason == Http::CloseReason::ResponseSent
             || (close.reason == Http::CloseReason::EndedByCaller
                 && close.phase == Http::ConnectionPhase::BetweenRequests);
         if (is_ordinary)
