--- a/Libraries/LibHttp/ConnectionPhase.h
+++ b/Libraries/LibHttp/ConnectionPhase.h
@@ -26,7 +26,7 @@
 /// Why a caller's connection was closed.
 enum class CloseReason : u8 {
     /// The answer is complete and said that the connection ends with it.
-    Answered,
+    ResponseSent,
     /// The caller has ended it.
     EndedByCaller,
     /// Nothing came for `idle_timeout`.
