--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -88,7 +88,7 @@
     if (readable == Readable::Nothing)
         return this->watch_socket();
     if (readable == Readable::End)
-        return this->close(CloseReason::EndedByCaller);
+        return this->close(CloseReason::ClosedByCaller);
     if (this->phase == ConnectionPhase::BetweenRequests)
         return this->read_head();
     // The bytes are of a further request, which is read later. They hide the connection's end from the wait.
@@ -98,7 +98,7 @@
 void CallerConnection::look_for_leaving()
 {
     if (peer_has_closed(this->socket))
-        return this->close(CloseReason::EndedByCaller);
+        return this->close(CloseReason::ClosedByCaller);
     this->set_timer(leaving_check_period, &CallerConnection::look_for_leaving);
 }
 
@@ -187,7 +187,7 @@
         return this->refuse(Status::payload_too_large, "the body is too large; send a smaller one");
     if (is_malformed(error))
         return this->refuse(Status::bad_request, "not a well-formed HTTP/1.1 request (" + error.message() + ')');
-    this->close(CloseReason::EndedByCaller);
+    this->close(CloseReason::ClosedByCaller);
 }
 
 void CallerConnection::refuse(Status status, std::string const& reason)
--- a/Libraries/LibHttp/ConnectionPhase.cpp
+++ b/Libraries/LibHttp/ConnectionPhase.cpp
@@ -31,7 +31,7 @@
     switch (reason) {
     case CloseReason::ResponseSent:
         return "answered";
-    case CloseReason::EndedByCaller:
+    case CloseReason::ClosedByCaller:
         return "ended_by_caller";
     case CloseReason::Idle:
         return "idle";
--- a/Libraries/LibHttp/ConnectionPhase.h
+++ b/Libraries/LibHttp/ConnectionPhase.h
@@ -28,7 +28,7 @@
     /// The answer is complete and said that the connection ends with it.
     ResponseSent,
     /// The caller has ended it.
-    EndedByCaller,
+    ClosedByCaller,
     /// Nothing came for `idle_timeout`.
     Idle,
     /// The process is stopping.
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -309,7 +309,7 @@
         auto reason = std::string(to_string(close.reason));
         this->context.metrics.add("caller_connections_closed_total{reason=\"" + reason + "\"}");
         bool const is_ordinary = close.reason == Http::CloseReason::ResponseSent
-            || (close.reason == Http::CloseReason::EndedByCaller
+            || (close.reason == Http::CloseReason::ClosedByCaller
                 && close.phase == Http::ConnectionPhase::BetweenRequests);
         if (is_ordinary)
             return;
--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -47,7 +47,7 @@
     {
         fixture.callers.clear();
         ::Test::run_until(fixture.loop, [&] { return !fixture.closes.empty(); });
-        CHECK(fixture.closes[0].reason == Http::CloseReason::EndedByCaller);
+        CHECK(fixture.closes[0].reason == Http::CloseReason::ClosedByCaller);
         CHECK(fixture.closes[0].phase == Http::ConnectionPhase::BetweenRequests);
     }
     WHEN("it leaves with a further request unread behind the one that is worked on")
