--- a/Libraries/LibHttp/CallerServer.cpp
+++ b/Libraries/LibHttp/CallerServer.cpp
@@ -40,7 +40,7 @@
     bool const is_out_of_descriptors = error == boost::system::errc::too_many_files_open
         || error == boost::system::errc::too_many_files_open_in_system;
     if (is_out_of_descriptors)
-        this->close_idle_connections(CloseReason::RoomNeeded);
+        this->close_idle_connections(CloseReason::CapacityNeeded);
     this->retry_timer.expires_after(accept_retry_delay);
     this->retry_timer.async_wait([this](beast::error_code timer_error) {
         if (!timer_error && this->is_accepting())
--- a/Libraries/LibHttp/ConnectionPhase.cpp
+++ b/Libraries/LibHttp/ConnectionPhase.cpp
@@ -37,7 +37,7 @@
         return "idle";
     case CloseReason::PlannedStop:
         return "planned_stop";
-    case CloseReason::RoomNeeded:
+    case CloseReason::CapacityNeeded:
         return "room_needed";
     case CloseReason::WriteFailed:
         return "write_failed";
--- a/Libraries/LibHttp/ConnectionPhase.h
+++ b/Libraries/LibHttp/ConnectionPhase.h
@@ -34,7 +34,7 @@
     /// The process is stopping.
     PlannedStop,
     /// No further connection could be accepted.
-    RoomNeeded,
+    CapacityNeeded,
     /// Bytes for the caller could not be sent.
     WriteFailed,
     /// More bytes wait for the caller than may.
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -216,5 +216,5 @@
         return newcomer.answers() == 1;
     });
     CHECK(fixture.closes.size() == caller_count);
-    CHECK(fixture.closes.front().reason == Http::CloseReason::RoomNeeded);
+    CHECK(fixture.closes.front().reason == Http::CloseReason::CapacityNeeded);
 }
