--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -267,7 +267,7 @@
         return;
     this->outgoing_bytes += bytes.size();
     if (this->outgoing_bytes > CallerContext::most_waiting_bytes + this->context->limits.body_bytes)
-        return this->close(CloseReason::TooMuchWaiting);
+        return this->close(CloseReason::TooManyPendingBytes);
     this->outgoing.push_back(std::move(bytes));
     if (!this->writing)
         this->write_next();
--- a/Libraries/LibHttp/ConnectionPhase.cpp
+++ b/Libraries/LibHttp/ConnectionPhase.cpp
@@ -41,7 +41,7 @@
         return "room_needed";
     case CloseReason::WriteFailed:
         return "write_failed";
-    case CloseReason::TooMuchWaiting:
+    case CloseReason::TooManyPendingBytes:
         return "too_much_waiting";
     case CloseReason::Aborted:
         return "aborted";
--- a/Libraries/LibHttp/ConnectionPhase.h
+++ b/Libraries/LibHttp/ConnectionPhase.h
@@ -38,7 +38,7 @@
     /// Bytes for the caller could not be sent.
     WriteFailed,
     /// More bytes wait for the caller than may.
-    TooMuchWaiting,
+    TooManyPendingBytes,
     /// The request's own work ended it, so that its answer does not look complete.
     Aborted,
 };
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -173,7 +173,7 @@
         for (size_t i = 0; i < 1000 && !is_told; ++i)
             exchange->send_chunk(piece);
         CHECK(is_told);
-        CHECK(fixture.closes.back().reason == Http::CloseReason::TooMuchWaiting);
+        CHECK(fixture.closes.back().reason == Http::CloseReason::TooManyPendingBytes);
     }
     WHEN("its own work ends it")
     {
