--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -266,7 +266,7 @@
     if (!this->is_open())
         return;
     this->outgoing_bytes += bytes.size();
-    if (this->outgoing_bytes > CallerContext::most_waiting_bytes + this->context->limits.body_bytes)
+    if (this->outgoing_bytes > CallerContext::max_pending_bytes + this->context->limits.body_bytes)
         return this->close(CloseReason::TooManyPendingBytes);
     this->outgoing.push_back(std::move(bytes));
     if (!this->writing)
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -35,7 +35,7 @@
     /// Requests that have begun to arrive and not yet been answered to their end.
     size_t open_requests { 0 };
     /// Bytes that may wait for one caller, beside one body of the largest size, before it is cut off.
-    static constexpr size_t most_waiting_bytes = 1 << 20;
+    static constexpr size_t max_pending_bytes = 1 << 20;
     std::function<void(std::shared_ptr<Exchange>)> on_request {};
     /// Bytes that were no acceptable request; the text is what the caller was told.
     std::function<void(std::string const& reason)> on_refused_bytes {};
