--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -207,7 +207,7 @@
 {
     this->enter(ConnectionPhase::Responding);
     this->timer.cancel();
-    ++this->requests_taken;
+    ++this->requests_accepted;
     this->keep_alive = this->parser->get().keep_alive();
     auto received = AK::BootClock::now();
     auto taken = std::make_shared<Exchange>(shared_from_this(), this->parser->release(), received);
@@ -311,7 +311,8 @@
 {
     if (!this->is_open())
         return;
-    ConnectionClose const told { reason, this->phase, this->requests_taken, AK::BootClock::now() - this->phase_began };
+    ConnectionClose const told { reason, this->phase, this->requests_accepted,
+        AK::BootClock::now() - this->phase_began };
     this->enter(ConnectionPhase::Closed);
     this->timer.cancel();
     boost::system::error_code ignored;
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -102,7 +102,7 @@
     size_t outgoing_bytes { 0 };
     ConnectionPhase phase { ConnectionPhase::BetweenRequests };
     Instant phase_began {};
-    u64 requests_taken { 0 };
+    u64 requests_accepted { 0 };
     bool writing { false };
     bool finish_when_written { false };
     bool keep_alive { true };
--- a/Libraries/LibHttp/ConnectionPhase.h
+++ b/Libraries/LibHttp/ConnectionPhase.h
@@ -51,7 +51,7 @@
     CloseReason reason;
     ConnectionPhase phase;
     /// Requests that had been taken from this connection.
-    u64 requests_taken;
+    u64 requests_accepted;
     /// Since the phase began.
     Duration waited;
 };
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -316,7 +316,7 @@
         this->log.event(Core::EventNumber::CallerConnectionClosed, this->settings.host.value())
             .with("reason", reason)
             .with("phase", to_string(close.phase))
-            .with("requests_taken", close.requests_taken)
+            .with("requests_taken", close.requests_accepted)
             .with("waited_ms", close.waited);
     }
 
