--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -317,7 +317,7 @@
             .with("reason", reason)
             .with("phase", to_string(close.phase))
             .with("requests_taken", close.requests_accepted)
-            .with("waited_ms", close.waited);
+            .with("waited_ms", close.time_in_phase);
     }
 
     // --- process lifecycle
