--- a/Libraries/LibHttp/ConnectionPhase.h
+++ b/Libraries/LibHttp/ConnectionPhase.h
@@ -53,7 +53,7 @@
     /// Requests that had been taken from this connection.
     u64 requests_accepted;
     /// Since the phase began.
-    Duration waited;
+    Duration time_in_phase;
 };
 
 /// Whether a request has begun to arrive and is not answered to its end.
