--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -195,8 +195,8 @@
     this->enter(ConnectionPhase::Responding);
     this->timer.cancel();
     this->keep_alive = false;
-    if (this->context->on_refused_bytes)
-        this->context->on_refused_bytes(reason);
+    if (this->context->on_rejected_request)
+        this->context->on_rejected_request(reason);
     Response response(status, http_1_1);
     response.set(Name::content_type, "application/json");
     response.body() = R"({"error":{"type":"invalid_request","message":")" + reason + "\"}}";
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -38,7 +38,7 @@
     static constexpr size_t max_pending_bytes = 1 << 20;
     std::function<void(std::shared_ptr<Exchange>)> on_request {};
     /// Bytes that were no acceptable request; the text is what the caller was told.
-    std::function<void(std::string const& reason)> on_refused_bytes {};
+    std::function<void(std::string const& reason)> on_rejected_request {};
     std::function<void(ConnectionClose const&)> on_closed {};
 };
 
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -76,7 +76,7 @@
         this->callers_context = std::make_shared<Http::CallerContext>();
         this->callers_context->on_request
             = [this](std::shared_ptr<Http::Exchange> exchange) { this->request_handler.handle(std::move(exchange)); };
-        this->callers_context->on_refused_bytes = [this](std::string const& reason) {
+        this->callers_context->on_rejected_request = [this](std::string const& reason) {
             this->log.event(Core::EventNumber::RequestRefused, "unread").with("reason", reason);
         };
         this->callers_context->on_closed
