--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -153,7 +153,7 @@
     if (this->phase != ConnectionPhase::ReadingHead)
         return;
     if (error)
-        return this->refuse_bytes(error);
+        return this->reject_unreadable_request(error);
     if (this->has_ambiguous_framing())
         return this->refuse(Status::bad_request, "send either one Content-Length or 'Transfer-Encoding: chunked'");
     this->read_body();
@@ -174,11 +174,11 @@
     if (this->phase != ConnectionPhase::ReadingBody)
         return;
     if (error)
-        return this->refuse_bytes(error);
+        return this->reject_unreadable_request(error);
     this->deliver();
 }
 
-void CallerConnection::refuse_bytes(beast::error_code error)
+void CallerConnection::reject_unreadable_request(beast::error_code error)
 {
     if (error == HttpError::header_limit)
         return this->refuse(
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -65,7 +65,7 @@
     void head_arrived(beast::error_code);
     void read_body();
     void body_arrived(beast::error_code);
-    void refuse_bytes(beast::error_code);
+    void reject_unreadable_request(beast::error_code);
     void refuse(Status, std::string const& reason);
     [[nodiscard]] bool has_ambiguous_framing() const;
     void deliver();
