--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -128,12 +128,12 @@
 
 void CallerConnection::head_too_slow()
 {
-    this->refuse(Status::request_timeout, "the head did not arrive in time; send the request again");
+    this->reject(Status::request_timeout, "the head did not arrive in time; send the request again");
 }
 
 void CallerConnection::body_too_slow()
 {
-    this->refuse(Status::request_timeout, "the body did not arrive in time; send the request again");
+    this->reject(Status::request_timeout, "the body did not arrive in time; send the request again");
 }
 
 bool CallerConnection::has_ambiguous_framing() const
@@ -155,7 +155,7 @@
     if (error)
         return this->reject_unreadable_request(error);
     if (this->has_ambiguous_framing())
-        return this->refuse(Status::bad_request, "send either one Content-Length or 'Transfer-Encoding: chunked'");
+        return this->reject(Status::bad_request, "send either one Content-Length or 'Transfer-Encoding: chunked'");
     this->read_body();
 }
 
@@ -181,16 +181,16 @@
 void CallerConnection::reject_unreadable_request(beast::error_code error)
 {
     if (error == HttpError::header_limit)
-        return this->refuse(
+        return this->reject(
             Status::request_header_fields_too_large, "the header is too large; send fewer or shorter fields");
     if (error == HttpError::body_limit)
-        return this->refuse(Status::payload_too_large, "the body is too large; send a smaller one");
+        return this->reject(Status::payload_too_large, "the body is too large; send a smaller one");
     if (is_malformed(error))
-        return this->refuse(Status::bad_request, "not a well-formed HTTP/1.1 request (" + error.message() + ')');
+        return this->reject(Status::bad_request, "not a well-formed HTTP/1.1 request (" + error.message() + ')');
     this->close(CloseReason::ClosedByCaller);
 }
 
-void CallerConnection::refuse(Status status, std::string const& reason)
+void CallerConnection::reject(Status status, std::string const& reason)
 {
     this->enter(ConnectionPhase::Responding);
     this->timer.cancel();
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -66,7 +66,7 @@
     void read_body();
     void body_arrived(beast::error_code);
     void reject_unreadable_request(beast::error_code);
-    void refuse(Status, std::string const& reason);
+    void reject(Status, std::string const& reason);
     [[nodiscard]] bool has_ambiguous_framing() const;
     void deliver();
 
