--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -121,11 +121,11 @@
     beast::http::async_read_header(this->socket, this->buffer, *this->parser,
         [self = shared_from_this(), number](beast::error_code error, size_t) {
             if (number == self->exchange_number && self->in_exchange)
-                self->head_arrived(error);
+                self->handle_head(error);
         });
 }
 
-void BackendConnection::head_arrived(beast::error_code error)
+void BackendConnection::handle_head(beast::error_code error)
 {
     if (error)
         return this->fail(is_malformed(error) ? ExchangeEnd::Malformed : ExchangeEnd::NoResponse, error);
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -74,7 +74,7 @@
     void connect(Duration patience, Duration silence_limit);
     void send();
     void read_head();
-    void head_arrived(beast::error_code);
+    void handle_head(beast::error_code);
     void read_body();
     void body_arrived(beast::error_code);
     void pass_on_body();
--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -123,7 +123,7 @@
     this->parser->body_limit(this->context->limits.body_bytes);
     this->set_timer(this->context->limits.header_timeout, &CallerConnection::head_too_slow);
     beast::http::async_read_header(this->socket, this->buffer, *this->parser,
-        [self = shared_from_this()](beast::error_code error, size_t) { self->head_arrived(error); });
+        [self = shared_from_this()](beast::error_code error, size_t) { self->handle_head(error); });
 }
 
 void CallerConnection::head_too_slow()
@@ -147,7 +147,7 @@
     return !beast::iequals(head[Name::transfer_encoding], "chunked") || head.count(Name::content_length) > 0;
 }
 
-void CallerConnection::head_arrived(beast::error_code error)
+void CallerConnection::handle_head(beast::error_code error)
 {
     // The caller may have been told by now that its head came too late.
     if (this->phase != ConnectionPhase::ReadingHead)
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -62,7 +62,7 @@
     void became_readable();
     void look_for_leaving();
     void read_head();
-    void head_arrived(beast::error_code);
+    void handle_head(beast::error_code);
     void read_body();
     void body_arrived(beast::error_code);
     void reject_unreadable_request(beast::error_code);
