--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -176,11 +176,11 @@
     beast::http::async_read_some(this->socket, this->buffer, *this->parser,
         [self = shared_from_this(), number](beast::error_code error, size_t) {
             if (number == self->exchange_number && self->in_exchange)
-                self->body_arrived(error);
+                self->handle_body(error);
         });
 }
 
-void BackendConnection::body_arrived(beast::error_code error)
+void BackendConnection::handle_body(beast::error_code error)
 {
     if (!error)
         return this->read_body();
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -76,7 +76,7 @@
     void read_head();
     void handle_head(beast::error_code);
     void read_body();
-    void body_arrived(beast::error_code);
+    void handle_body(beast::error_code);
     void pass_on_body();
     void answer_complete();
     void fail(ExchangeEnd, beast::error_code);
--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -164,10 +164,10 @@
     this->enter(ConnectionPhase::ReadingBody);
     this->set_timer(this->context->limits.idle_timeout, &CallerConnection::body_too_slow);
     beast::http::async_read(this->socket, this->buffer, *this->parser,
-        [self = shared_from_this()](beast::error_code error, size_t) { self->body_arrived(error); });
+        [self = shared_from_this()](beast::error_code error, size_t) { self->handle_body(error); });
 }
 
-void CallerConnection::body_arrived(beast::error_code error)
+void CallerConnection::handle_body(beast::error_code error)
 {
     // A request whose caller has been told that it came too late, or whose connection is closed, must not be run:
     // nobody would get its answer.
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -64,7 +64,7 @@
     void read_head();
     void handle_head(beast::error_code);
     void read_body();
-    void body_arrived(beast::error_code);
+    void handle_body(beast::error_code);
     void reject_unreadable_request(beast::error_code);
     void reject(Status, std::string const& reason);
     [[nodiscard]] bool has_ambiguous_framing() const;
