--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -75,11 +75,11 @@
     this->socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](beast::error_code error) {
         self->watching = false;
         if (!error)
-            self->became_readable();
+            self->handle_readable();
     });
 }
 
-void CallerConnection::became_readable()
+void CallerConnection::handle_readable()
 {
     if (this->phase != ConnectionPhase::BetweenRequests && this->phase != ConnectionPhase::Responding)
         return;
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -59,7 +59,7 @@
 
     void await_request();
     void watch_socket();
-    void became_readable();
+    void handle_readable();
     void look_for_leaving();
     void read_head();
     void handle_head(beast::error_code);
