--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -92,14 +92,14 @@
     if (this->phase == ConnectionPhase::BetweenRequests)
         return this->read_head();
     // The bytes are of a further request, which is read later. They hide the connection's end from the wait.
-    this->set_timer(leaving_check_period, &CallerConnection::look_for_leaving);
+    this->set_timer(leaving_check_period, &CallerConnection::check_for_disconnect);
 }
 
-void CallerConnection::look_for_leaving()
+void CallerConnection::check_for_disconnect()
 {
     if (peer_has_closed(this->socket))
         return this->close(CloseReason::ClosedByCaller);
-    this->set_timer(leaving_check_period, &CallerConnection::look_for_leaving);
+    this->set_timer(leaving_check_period, &CallerConnection::check_for_disconnect);
 }
 
 void CallerConnection::idle_too_long()
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -60,7 +60,7 @@
     void await_request();
     void watch_socket();
     void handle_readable();
-    void look_for_leaving();
+    void check_for_disconnect();
     void read_head();
     void handle_head(beast::error_code);
     void read_body();
