--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -20,7 +20,7 @@
 static constexpr Duration caller_silence_limit = 10s;
 /// How often the end of a connection is looked for that has unread bytes in front of it. Work for a caller that has
 /// left must end within half a second.
-static constexpr Duration leaving_check_period = 200ms;
+static constexpr Duration disconnect_check_period = 200ms;
 /// Callers are told to use a kept connection again no later than this before it is closed as idle, so that no request
 /// crosses the close. Longer than the way of a request from another region (12 ms) and its repeats on a lossy link.
 static constexpr Duration idle_promise_margin = 1s;
@@ -92,14 +92,14 @@
     if (this->phase == ConnectionPhase::BetweenRequests)
         return this->read_head();
     // The bytes are of a further request, which is read later. They hide the connection's end from the wait.
-    this->set_timer(leaving_check_period, &CallerConnection::check_for_disconnect);
+    this->set_timer(disconnect_check_period, &CallerConnection::check_for_disconnect);
 }
 
 void CallerConnection::check_for_disconnect()
 {
     if (peer_has_closed(this->socket))
         return this->close(CloseReason::ClosedByCaller);
-    this->set_timer(leaving_check_period, &CallerConnection::check_for_disconnect);
+    this->set_timer(disconnect_check_period, &CallerConnection::check_for_disconnect);
 }
 
 void CallerConnection::idle_too_long()
