--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -63,7 +63,7 @@
     this->enter(ConnectionPhase::BetweenRequests);
     if (this->buffer.size() > 0)
         return this->read_head();
-    this->set_timer(this->idle_patience, &CallerConnection::idle_too_long);
+    this->set_timer(this->idle_patience, &CallerConnection::handle_idle_timeout);
     this->watch_socket();
 }
 
@@ -102,7 +102,7 @@
     this->set_timer(disconnect_check_period, &CallerConnection::check_for_disconnect);
 }
 
-void CallerConnection::idle_too_long()
+void CallerConnection::handle_idle_timeout()
 {
     // Bytes that came in time are read in a later turn of the loop.
     if (peek(this->socket) != Readable::Bytes)
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -72,7 +72,7 @@
 
     /// Calls `overdue` after `patience`, unless the phase has changed or the timer has been set anew by then.
     void set_timer(Duration patience, void (CallerConnection::*overdue)());
-    void idle_too_long();
+    void handle_idle_timeout();
     void head_too_slow();
     void body_too_slow();
 
