--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -121,12 +121,12 @@
     this->parser.emplace();
     this->parser->header_limit(this->context->limits.header_bytes);
     this->parser->body_limit(this->context->limits.body_bytes);
-    this->set_timer(this->context->limits.header_timeout, &CallerConnection::head_too_slow);
+    this->set_timer(this->context->limits.header_timeout, &CallerConnection::handle_head_timeout);
     beast::http::async_read_header(this->socket, this->buffer, *this->parser,
         [self = shared_from_this()](beast::error_code error, size_t) { self->handle_head(error); });
 }
 
-void CallerConnection::head_too_slow()
+void CallerConnection::handle_head_timeout()
 {
     this->reject(Status::request_timeout, "the head did not arrive in time; send the request again");
 }
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -73,7 +73,7 @@
     /// Calls `overdue` after `patience`, unless the phase has changed or the timer has been set anew by then.
     void set_timer(Duration patience, void (CallerConnection::*overdue)());
     void handle_idle_timeout();
-    void head_too_slow();
+    void handle_head_timeout();
     void body_too_slow();
 
     /// Says in an answer's head whether the connection can be used again, and until when.
