--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -131,7 +131,7 @@
     this->reject(Status::request_timeout, "the head did not arrive in time; send the request again");
 }
 
-void CallerConnection::body_too_slow()
+void CallerConnection::handle_body_timeout()
 {
     this->reject(Status::request_timeout, "the body did not arrive in time; send the request again");
 }
@@ -162,7 +162,7 @@
 void CallerConnection::read_body()
 {
     this->enter(ConnectionPhase::ReadingBody);
-    this->set_timer(this->context->limits.idle_timeout, &CallerConnection::body_too_slow);
+    this->set_timer(this->context->limits.idle_timeout, &CallerConnection::handle_body_timeout);
     beast::http::async_read(this->socket, this->buffer, *this->parser,
         [self = shared_from_this()](beast::error_code error, size_t) { self->handle_body(error); });
 }
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -74,7 +74,7 @@
     void set_timer(Duration patience, void (CallerConnection::*overdue)());
     void handle_idle_timeout();
     void handle_head_timeout();
-    void body_too_slow();
+    void handle_body_timeout();
 
     /// Says in an answer's head whether the connection can be used again, and until when.
     void promise_reuse(ResponseHead&);
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -152,7 +152,7 @@
     Libraries/LibHttp/CallerConnection.cpp "if (this->phase != ConnectionPhase::ReadingHead)
         return;" ""
 guard "a body has its time" TestLibHttp "Scenario: a request whose time is over is refused and not taken, or taken and answered" \
-    Libraries/LibHttp/CallerConnection.cpp "this->set_timer(this->context->limits.idle_timeout, &CallerConnection::body_too_slow);" ""
+    Libraries/LibHttp/CallerConnection.cpp "this->set_timer(this->context->limits.idle_timeout, &CallerConnection::handle_body_timeout);" ""
 guard "an end behind bytes is noticed" TestLibHttp "Scenario: a caller that leaves is noticed" \
     Libraries/LibHttp/CallerConnection.cpp "if (peer_has_closed(this->socket))" "if (false)"
 guard "room is made for new callers" TestLibHttp "Scenario: a new caller is served when idle ones hold all descriptors" \
