--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -29,7 +29,7 @@
     : socket(std::move(socket))
     , timer(this->socket.get_executor())
     , context(std::move(context))
-    , idle_patience(this->context->limits.idle_timeout)
+    , advertised_idle_timeout(this->context->limits.idle_timeout)
 {
     boost::system::error_code ignored;
     this->socket.set_option(tcp::no_delay(true), ignored);
@@ -63,7 +63,7 @@
     this->enter(ConnectionPhase::BetweenRequests);
     if (this->buffer.size() > 0)
         return this->read_head();
-    this->set_timer(this->idle_patience, &CallerConnection::handle_idle_timeout);
+    this->set_timer(this->advertised_idle_timeout, &CallerConnection::handle_idle_timeout);
     this->watch_socket();
 }
 
@@ -224,8 +224,8 @@
     if (!this->keep_alive)
         return head.set(Name::connection, "close");
     // The configuration may change before the answer has ended.
-    this->idle_patience = this->context->limits.idle_timeout;
-    auto const promised = this->idle_patience - idle_promise_margin;
+    this->advertised_idle_timeout = this->context->limits.idle_timeout;
+    auto const promised = this->advertised_idle_timeout - idle_promise_margin;
     auto const seconds = std::chrono::duration_cast<std::chrono::seconds>(promised).count();
     if (seconds > 0)
         head.set(Name::keep_alive, "timeout=" + std::to_string(seconds));
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -94,7 +94,7 @@
     AK::Timer timer;
     std::shared_ptr<CallerContext> context;
     /// As the caller was told with the last answer.
-    Duration idle_patience;
+    Duration advertised_idle_timeout;
     beast::flat_buffer buffer;
     std::optional<Parser> parser;
     std::weak_ptr<Exchange> exchange;
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -159,7 +159,7 @@
     Libraries/LibHttp/CallerServer.cpp "if (is_out_of_descriptors)" "if (false)"
 guard "an idle time-out is the promised one" TestLibHttp \
     "Scenario: a connection is closed without an answer between requests only" \
-    Libraries/LibHttp/CallerConnection.cpp "this->idle_patience = this->context->limits.idle_timeout;" ""
+    Libraries/LibHttp/CallerConnection.cpp "this->advertised_idle_timeout = this->context->limits.idle_timeout;" ""
 guard "a request has one end" TestPlatform "Scenario: a call to a plain service goes through a host on the users' platform" \
     Libraries/LibServing/RequestFlow.h "!error && !this->is_over" "!error"
 
