--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -216,7 +216,7 @@
     this->context->on_request(std::move(taken));
 }
 
-void CallerConnection::promise_reuse(ResponseHead& head)
+void CallerConnection::advertise_keep_alive(ResponseHead& head)
 {
     if (this->context->closing)
         this->keep_alive = false;
@@ -233,7 +233,7 @@
 
 void CallerConnection::send_answer(Response response)
 {
-    this->promise_reuse(response);
+    this->advertise_keep_alive(response);
     response.prepare_payload();
     std::ostringstream head;
     head << response.base();
@@ -243,7 +243,7 @@
 
 void CallerConnection::send_stream_head(ResponseHead head)
 {
-    this->promise_reuse(head);
+    this->advertise_keep_alive(head);
     head.set(Name::transfer_encoding, "chunked");
     std::ostringstream text;
     text << head;
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -77,7 +77,7 @@
     void handle_body_timeout();
 
     /// Says in an answer's head whether the connection can be used again, and until when.
-    void promise_reuse(ResponseHead&);
+    void advertise_keep_alive(ResponseHead&);
     void send_answer(Response);
     void send_stream_head(ResponseHead);
     void send_chunk(std::string_view);
