--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -23,7 +23,7 @@
 static constexpr Duration disconnect_check_period = 200ms;
 /// Callers are told to use a kept connection again no later than this before it is closed as idle, so that no request
 /// crosses the close. Longer than the way of a request from another region (12 ms) and its repeats on a lossy link.
-static constexpr Duration idle_promise_margin = 1s;
+static constexpr Duration keep_alive_margin = 1s;
 
 CallerConnection::CallerConnection(tcp::socket socket, std::shared_ptr<CallerContext> context)
     : socket(std::move(socket))
@@ -225,7 +225,7 @@
         return head.set(Name::connection, "close");
     // The configuration may change before the answer has ended.
     this->advertised_idle_timeout = this->context->limits.idle_timeout;
-    auto const promised = this->advertised_idle_timeout - idle_promise_margin;
+    auto const promised = this->advertised_idle_timeout - keep_alive_margin;
     auto const seconds = std::chrono::duration_cast<std::chrono::seconds>(promised).count();
     if (seconds > 0)
         head.set(Name::keep_alive, "timeout=" + std::to_string(seconds));
