--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -200,7 +200,7 @@
     Response response(status, http_1_1);
     response.set(Name::content_type, "application/json");
     response.body() = R"({"error":{"type":"invalid_request","message":")" + reason + "\"}}";
-    this->send_answer(std::move(response));
+    this->send_response(std::move(response));
 }
 
 void CallerConnection::deliver()
@@ -231,7 +231,7 @@
         head.set(Name::keep_alive, "timeout=" + std::to_string(seconds));
 }
 
-void CallerConnection::send_answer(Response response)
+void CallerConnection::send_response(Response response)
 {
     this->advertise_keep_alive(response);
     response.prepare_payload();
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -78,7 +78,7 @@
 
     /// Says in an answer's head whether the connection can be used again, and until when.
     void advertise_keep_alive(ResponseHead&);
-    void send_answer(Response);
+    void send_response(Response);
     void send_stream_head(ResponseHead);
     void send_chunk(std::string_view);
     void send_last_chunk();
--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -26,7 +26,7 @@
 {
     if (!this->connection)
         return;
-    this->take_connection()->send_answer(std::move(response));
+    this->take_connection()->send_response(std::move(response));
 }
 
 void Exchange::begin_stream(ResponseHead const& head)
