--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -172,7 +172,7 @@
     if (number != this->exchange_number || !this->in_exchange)
         return;
     if (this->parser->is_done())
-        return this->answer_complete();
+        return this->finish_response();
     beast::http::async_read_some(this->socket, this->buffer, *this->parser,
         [self = shared_from_this(), number](beast::error_code error, size_t) {
             if (number == self->exchange_number && self->in_exchange)
@@ -201,7 +201,7 @@
         current->body(piece);
 }
 
-void BackendConnection::answer_complete()
+void BackendConnection::finish_response()
 {
     if (this->skipping)
         return this->read_head();
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -78,7 +78,7 @@
     void read_body();
     void handle_body(beast::error_code);
     void pass_on_body();
-    void answer_complete();
+    void finish_response();
     void fail(ExchangeEnd, beast::error_code);
     void finish(ExchangeEnd, std::string const& reason);
     void note_idle_limit(ResponseHead const&);
