--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -52,7 +52,7 @@
 
 bool BackendConnection::is_reusable()
 {
-    if (!this->connected || this->in_exchange || !this->answer_allows_reuse)
+    if (!this->connected || this->in_exchange || !this->response_allows_reuse)
         return false;
     if (AK::BootClock::now() >= this->idle_until)
         return false;
@@ -66,7 +66,7 @@
     VERIFY(!this->in_exchange);
     this->in_exchange = true;
     this->request_written = false;
-    this->answer_allows_reuse = false;
+    this->response_allows_reuse = false;
     this->request = std::move(new_request);
     this->observer = std::make_shared<ExchangeObserver>(std::move(new_observer));
     ++this->exchange_number;
@@ -206,7 +206,7 @@
     if (this->skipping)
         return this->read_head();
     // An answer that came before the request was all sent leaves the peer waiting for the rest of it.
-    this->answer_allows_reuse = this->request_written && this->buffer.size() == 0 && this->parser->get().keep_alive()
+    this->response_allows_reuse = this->request_written && this->buffer.size() == 0 && this->parser->get().keep_alive()
         && !this->parser->need_eof();
     this->finish(ExchangeEnd::Complete, {});
 }
@@ -221,7 +221,7 @@
 {
     this->in_exchange = false;
     this->rests_since = AK::BootClock::now();
-    if (!this->answer_allows_reuse)
+    if (!this->response_allows_reuse)
         this->close();
     // The observer may hold what keeps this connection alive.
     auto last = std::exchange(this->observer, nullptr);
@@ -232,7 +232,7 @@
 {
     ++this->exchange_number;
     this->in_exchange = false;
-    this->answer_allows_reuse = false;
+    this->response_allows_reuse = false;
     this->close();
     this->observer = nullptr;
 }
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -97,7 +97,7 @@
     bool in_exchange { false };
     bool skipping { false };
     bool request_written { false };
-    bool answer_allows_reuse { false };
+    bool response_allows_reuse { false };
     Instant idle_until {};
     Instant rests_since {};
     /// Tells callbacks of an exchange that was cancelled from those of the current one.
