--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -22,7 +22,7 @@
 /// Largest answer body that is taken: larger ones would not fit a host's memory beside others.
 static constexpr u64 max_response_bytes = 16 << 20;
 /// Bounds what a faulty peer can make this host keep.
-static constexpr u32 largest_answer_head_bytes = 64 << 10;
+static constexpr u32 max_response_head_bytes = 64 << 10;
 
 std::string_view to_string(ExchangeEnd end)
 {
@@ -117,7 +117,7 @@
     this->parser.emplace();
     this->parser->eager(true);
     this->parser->body_limit(max_response_bytes);
-    this->parser->header_limit(largest_answer_head_bytes);
+    this->parser->header_limit(max_response_head_bytes);
     beast::http::async_read_header(this->socket, this->buffer, *this->parser,
         [self = shared_from_this(), number](beast::error_code error, size_t) {
             if (number == self->exchange_number && self->in_exchange)
