--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -168,7 +168,7 @@
 void BackendConnection::read_body()
 {
     auto number = this->exchange_number;
-    this->pass_on_body();
+    this->forward_body();
     if (number != this->exchange_number || !this->in_exchange)
         return;
     if (this->parser->is_done())
@@ -185,12 +185,12 @@
     if (!error)
         return this->read_body();
     auto number = this->exchange_number;
-    this->pass_on_body();
+    this->forward_body();
     if (number == this->exchange_number && this->in_exchange)
         this->fail(ExchangeEnd::Truncated, error);
 }
 
-void BackendConnection::pass_on_body()
+void BackendConnection::forward_body()
 {
     auto& body = this->parser->get().body();
     if (body.empty())
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -77,7 +77,7 @@
     void handle_head(beast::error_code);
     void read_body();
     void handle_body(beast::error_code);
-    void pass_on_body();
+    void forward_body();
     void finish_response();
     void fail(ExchangeEnd, beast::error_code);
     void finish(ExchangeEnd, std::string const& reason);
