--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -138,7 +138,7 @@
     this->skipping = is_informational || current->head(head) == HeadAction::Skip;
     if (number != this->exchange_number || !this->in_exchange)
         return;
-    this->note_idle_limit(this->parser->get());
+    this->record_idle_limit(this->parser->get());
     this->read_body();
 }
 
@@ -157,7 +157,7 @@
     return std::chrono::seconds(seconds);
 }
 
-void BackendConnection::note_idle_limit(ResponseHead const& head)
+void BackendConnection::record_idle_limit(ResponseHead const& head)
 {
     auto limit = default_idle_limit;
     if (auto named = named_idle_limit(head))
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -81,7 +81,7 @@
     void finish_response();
     void fail(ExchangeEnd, beast::error_code);
     void finish(ExchangeEnd, std::string const& reason);
-    void note_idle_limit(ResponseHead const&);
+    void record_idle_limit(ResponseHead const&);
     void close();
 
     tcp::socket socket;
