--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -65,7 +65,7 @@
     /// Whether it has yet to be connected.
     [[nodiscard]] bool is_new() const { return !this->connected; }
     /// Since the end of its last answer.
-    [[nodiscard]] Duration rested_for() const { return AK::BootClock::now() - this->rests_since; }
+    [[nodiscard]] Duration idle_time() const { return AK::BootClock::now() - this->rests_since; }
     [[nodiscard]] tcp::endpoint const& peer() const { return this->endpoint; }
 
 private:
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -73,7 +73,7 @@
             .with("backend", this->backend->server.id)
             .with("try", this->dispatches)
             .with("kept", static_cast<int>(!this->is_on_new_connection))
-            .with("rested_ms", this->is_on_new_connection ? Duration(0) : this->connection->rested_for())
+            .with("rested_ms", this->is_on_new_connection ? Duration(0) : this->connection->idle_time())
             .with("in_flight", this->backend->in_flight)
             .with("cold_left_ms", this->backend->cold_left(this->context.now()))
             .with("back_off_left_ms", this->backend->back_off_left(this->context.now()))
