--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -220,7 +220,7 @@
 void BackendConnection::finish(ExchangeEnd end, std::string const& reason)
 {
     this->in_exchange = false;
-    this->rests_since = AK::BootClock::now();
+    this->idle_since = AK::BootClock::now();
     if (!this->response_allows_reuse)
         this->close();
     // The observer may hold what keeps this connection alive.
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -65,7 +65,7 @@
     /// Whether it has yet to be connected.
     [[nodiscard]] bool is_new() const { return !this->connected; }
     /// Since the end of its last answer.
-    [[nodiscard]] Duration idle_time() const { return AK::BootClock::now() - this->rests_since; }
+    [[nodiscard]] Duration idle_time() const { return AK::BootClock::now() - this->idle_since; }
     [[nodiscard]] tcp::endpoint const& peer() const { return this->endpoint; }
 
 private:
@@ -99,7 +99,7 @@
     bool request_written { false };
     bool response_allows_reuse { false };
     Instant idle_until {};
-    Instant rests_since {};
+    Instant idle_since {};
     /// Tells callbacks of an exchange that was cancelled from those of the current one.
     u64 exchange_number { 0 };
 };
