--- a/Libraries/LibHttp/ConnectionPool.cpp
+++ b/Libraries/LibHttp/ConnectionPool.cpp
@@ -9,7 +9,7 @@
 namespace Http {
 
 /// Kept connections for one address. More would only be opened in a burst and then lie idle.
-static constexpr size_t most_idle_for_an_address = 8;
+static constexpr size_t max_idle_per_endpoint = 8;
 
 std::shared_ptr<BackendConnection> ConnectionPool::acquire(tcp::endpoint const& endpoint)
 {
@@ -32,7 +32,7 @@
 void ConnectionPool::release(std::shared_ptr<BackendConnection> connection)
 {
     auto& kept = this->idle[connection->peer()];
-    if (kept.size() < most_idle_for_an_address && connection->is_reusable())
+    if (kept.size() < max_idle_per_endpoint && connection->is_reusable())
         kept.push_back(std::move(connection));
     else
         connection->cancel();
