--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -61,7 +61,7 @@
 }
 
 void BackendConnection::exchange(
-    Request new_request, ExchangeObserver new_observer, Duration connect_patience, Duration silence_limit)
+    Request new_request, ExchangeObserver new_observer, Duration connect_timeout, Duration silence_limit)
 {
     VERIFY(!this->in_exchange);
     this->in_exchange = true;
@@ -72,7 +72,7 @@
     ++this->exchange_number;
     if (this->connected)
         return this->send();
-    this->connect(connect_patience, silence_limit);
+    this->connect(connect_timeout, silence_limit);
 }
 
 void BackendConnection::connect(Duration patience, Duration silence_limit)
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -54,9 +54,9 @@
     BackendConnection(asio::io_context&, tcp::endpoint);
 
     /// Sends `request`, connecting first if need be, and reports the answer to `observer`. Connecting may take
-    /// `connect_patience`; the connection dies when the peer has acknowledged nothing for `silence_limit`. The caller
+    /// `connect_timeout`; the connection dies when the peer has acknowledged nothing for `silence_limit`. The caller
     /// bounds the wait for the answer itself, with cancel().
-    void exchange(Request request, ExchangeObserver observer, Duration connect_patience, Duration silence_limit);
+    void exchange(Request request, ExchangeObserver observer, Duration connect_timeout, Duration silence_limit);
     /// Ends the exchange and closes the connection, so that the backend server can drop the request.
     void cancel();
     /// Whether another request may be sent on this connection: its last answer was whole, it has not been idle for
