--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -93,7 +93,7 @@
             self->connected = true;
             boost::system::error_code ignored;
             self->socket.set_option(tcp::no_delay(true), ignored);
-            bound_silence(self->socket, silence_limit);
+            set_peer_timeout(self->socket, silence_limit);
             self->send();
         });
 }
--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -33,7 +33,7 @@
 {
     boost::system::error_code ignored;
     this->socket.set_option(tcp::no_delay(true), ignored);
-    bound_silence(this->socket, caller_silence_limit);
+    set_peer_timeout(this->socket, caller_silence_limit);
 }
 
 CallerConnection::~CallerConnection() { this->enter(ConnectionPhase::Closed); }
--- a/Libraries/LibHttp/Types.cpp
+++ b/Libraries/LibHttp/Types.cpp
@@ -54,7 +54,7 @@
     ::setsockopt(socket.native_handle(), level, name, &value, sizeof value);
 }
 
-void bound_silence(tcp::socket& socket, Duration patience)
+void set_peer_timeout(tcp::socket& socket, Duration patience)
 {
     auto const milliseconds = static_cast<unsigned>(AK::to_milliseconds(patience));
     // The kernel takes whole seconds here.
--- a/Libraries/LibHttp/Types.h
+++ b/Libraries/LibHttp/Types.h
@@ -41,7 +41,7 @@
 void remove_connection_fields(Fields&);
 
 /// The connection dies when a peer has acknowledged nothing for `patience`; without it a cut link goes unnoticed.
-void bound_silence(tcp::socket&, Duration patience);
+void set_peer_timeout(tcp::socket&, Duration patience);
 
 /// What can be read from a socket at once.
 enum class Readable : u8 {
