--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -16,7 +16,7 @@
 {
 }
 
-std::shared_ptr<CallerConnection> Exchange::take_connection()
+std::shared_ptr<CallerConnection> Exchange::release_connection()
 {
     this->caller_disconnected = nullptr;
     return std::exchange(this->connection, nullptr);
@@ -26,7 +26,7 @@
 {
     if (!this->connection)
         return;
-    this->take_connection()->send_response(std::move(response));
+    this->release_connection()->send_response(std::move(response));
 }
 
 void Exchange::begin_stream(ResponseHead const& head)
@@ -47,13 +47,13 @@
 void Exchange::end_stream()
 {
     if (this->connection)
-        this->take_connection()->send_last_chunk();
+        this->release_connection()->send_last_chunk();
 }
 
 void Exchange::abort()
 {
     if (this->connection)
-        this->take_connection()->close(CloseReason::Aborted);
+        this->release_connection()->close(CloseReason::Aborted);
 }
 
 void Exchange::connection_lost()
@@ -61,7 +61,7 @@
     if (!this->connection)
         return;
     auto observer = std::move(this->caller_disconnected);
-    this->take_connection();
+    this->release_connection();
     if (observer)
         observer();
 }
--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -42,7 +42,7 @@
 private:
     friend class CallerConnection;
     void connection_lost();
-    std::shared_ptr<CallerConnection> take_connection();
+    std::shared_ptr<CallerConnection> release_connection();
 
     std::shared_ptr<CallerConnection> connection;
     Request taken;
