--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <LibHttp/CallerServer.h>
-#include <Tests/LibHttp/KeptCaller.h>
+#include <Tests/LibHttp/PersistentCaller.h>
 #include <Tests/Support/Endpoints.h>
 #include <Tests/Support/LoopWait.h>
 #include <list>
@@ -36,7 +36,7 @@
     {
         for (size_t i = 0; i < caller_count; ++i) {
             this->callers.emplace_back(this->loop, this->endpoint);
-            this->callers.back().send(KeptCaller::get_request);
+            this->callers.back().send(PersistentCaller::get_request);
         }
         ::Test::run_until(this->loop, [this] { return this->waiting.size() == caller_count; });
         this->answer_all();
@@ -77,10 +77,10 @@
     }
 
     /// A further caller that has had one answer.
-    KeptCaller& connect_caller()
+    PersistentCaller& connect_caller()
     {
         auto& caller = this->callers.emplace_back(this->loop, this->endpoint);
-        caller.send(KeptCaller::get_request);
+        caller.send(PersistentCaller::get_request);
         auto before = this->taken_count;
         this->wait_for_taken(before + 1);
         this->answer_all();
@@ -112,7 +112,7 @@
     tcp::endpoint endpoint { ::Test::free_endpoint() };
     std::shared_ptr<CallerContext> context { std::make_shared<CallerContext>() };
     std::optional<CallerServer> server;
-    std::list<KeptCaller> callers;
+    std::list<PersistentCaller> callers;
     std::vector<std::shared_ptr<Exchange>> waiting;
     std::vector<ConnectionClose> closes;
     size_t taken_count { 0 };
--- a/Tests/LibHttp/KeptCaller.h
+++ b/Tests/LibHttp/PersistentCaller.h
@@ -14,7 +14,7 @@
 
 /// A caller that keeps one connection on loopback. It writes bytes that are given ahead, at once, so that they wait in
 /// the other side's socket until its loop runs.
-class KeptCaller {
+class PersistentCaller {
 public:
     inline static std::string const get_request = "GET /ask HTTP/1.1\r\nHost: example\r\n\r\n";
     inline static std::string const post_body = "question";
@@ -25,7 +25,7 @@
     inline static std::string const post_head = head_of_post(post_body.size());
     inline static std::string const post_request = post_head + post_body;
 
-    KeptCaller(asio::io_context& loop, tcp::endpoint const& server)
+    PersistentCaller(asio::io_context& loop, tcp::endpoint const& server)
         : socket(loop)
     {
         this->socket.connect(server);
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -22,7 +22,7 @@
 SCENARIO("a request on a kept connection is answered, or it is not taken")
 {
     CallerFixture fixture;
-    auto request = GENERATE(as<std::string> {}, KeptCaller::get_request, KeptCaller::post_request);
+    auto request = GENERATE(as<std::string> {}, PersistentCaller::get_request, PersistentCaller::post_request);
     INFO(request);
 
     GIVEN("a loop that stands still past the idle time-out of its connections, while requests come")
@@ -86,7 +86,7 @@
     {
         // It holds from this caller's next wait on; the others wait by the longer one.
         fixture.context->limits.idle_timeout = short_idle_timeout;
-        caller.send(KeptCaller::get_request);
+        caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(1);
         fixture.answer_all();
         ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
@@ -95,7 +95,7 @@
     }
     WHEN("a planned stop closes idle connections while a request's body is still due")
     {
-        caller.send(KeptCaller::post_head);
+        caller.send(PersistentCaller::post_head);
         fixture.loop.poll();
         fixture.context->closing = true;
         fixture.server->close_idle_connections(Http::CloseReason::PlannedStop);
@@ -107,7 +107,7 @@
         }
         THEN("its request is answered when the body has come, and the connection ends with that")
         {
-            caller.send(KeptCaller::post_body);
+            caller.send(PersistentCaller::post_body);
             fixture.serve_to_the_end();
             CHECK(caller.answers() == 2);
             ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
@@ -130,7 +130,7 @@
         // Of some of these lengths the first read leaves a rest, whose turn is after the refusal and before its end.
         std::string const long_body(GENERATE(600, 1'200, 2'400), 'x');
         fixture.context->limits.idle_timeout = short_idle_timeout;
-        caller.send(KeptCaller::head_of_post(long_body.size()));
+        caller.send(PersistentCaller::head_of_post(long_body.size()));
         fixture.loop.poll();
         ::Test::stall_for(2 * short_idle_timeout);
         caller.send(long_body);
@@ -152,7 +152,7 @@
     CallerFixture fixture;
     fixture.connect_callers();
     auto& caller = fixture.callers.front();
-    caller.send(KeptCaller::post_request);
+    caller.send(PersistentCaller::post_request);
     fixture.wait_for_taken(1);
     bool is_told = false;
     auto exchange = fixture.waiting.front();
@@ -194,7 +194,7 @@
     WHEN("it ends with the answer")
     {
         fixture.context->closing = true;
-        caller.send(KeptCaller::get_request);
+        caller.send(PersistentCaller::get_request);
         ::Test::run_until(fixture.loop, [&] {
             fixture.answer_all();
             return caller.is_closed();
@@ -208,9 +208,9 @@
     CallerFixture fixture;
     fixture.connect_callers();
     // One more for the caller's side; none is left for the server's.
-    KeptCaller newcomer(fixture.loop, fixture.endpoint);
+    PersistentCaller newcomer(fixture.loop, fixture.endpoint);
     ::Test::DescriptorLimit const limit(::Test::descriptors_in_use());
-    newcomer.send(KeptCaller::get_request);
+    newcomer.send(PersistentCaller::get_request);
     ::Test::run_until(fixture.loop, [&] {
         fixture.answer_all();
         return newcomer.answers() == 1;
--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -53,10 +53,10 @@
     WHEN("it leaves with a further request unread behind the one that is worked on")
     {
         bool is_told = false;
-        caller.send(KeptCaller::get_request);
+        caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(2);
         fixture.waiting.front()->on_caller_disconnected([&] { is_told = true; });
-        caller.send(KeptCaller::get_request);
+        caller.send(PersistentCaller::get_request);
         fixture.settle();
         fixture.callers.clear();
         ::Test::run_until(fixture.loop, [&] { return is_told; });
@@ -72,7 +72,7 @@
     WHEN("an answer is written in the turn in which its caller has left")
     {
         auto& caller = fixture.connect_caller();
-        caller.send(KeptCaller::get_request);
+        caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(2);
         TurnHook hook(fixture.loop, [&] { fixture.answer_all(); });
         hook.ring();
@@ -84,15 +84,15 @@
     WHEN("a new connection takes its place in the reactor while its last event is still queued")
     {
         fixture.context->limits.header_timeout = short_idle_timeout;
-        KeptCaller caller(fixture.loop, fixture.endpoint);
-        caller.send(KeptCaller::get_request);
+        PersistentCaller caller(fixture.loop, fixture.endpoint);
+        caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(1);
         auto exchange = fixture.waiting.front();
         fixture.waiting.clear();
         TurnHook hook(fixture.loop, [&] { exchange->abort(); });
         fixture.settle();
         hook.ring();
-        KeptCaller silent(fixture.loop, fixture.endpoint);
+        PersistentCaller silent(fixture.loop, fixture.endpoint);
         caller.send("x");
         fixture.settle();
         THEN("the new one has no request, and is told nothing")
@@ -115,7 +115,7 @@
     WHEN("its body never comes")
     {
         fixture.context->limits.idle_timeout = short_idle_timeout;
-        caller.send(KeptCaller::post_head);
+        caller.send(PersistentCaller::post_head);
         ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
         CHECK(is_refused());
         CHECK(fixture.taken_count == 1);
@@ -144,10 +144,10 @@
     // The first is accepted in one turn with the stop, the second's accept is queued behind it, and the others have not
     // been looked at.
     constexpr size_t newcomer_count = 6;
-    std::list<KeptCaller> newcomers;
+    std::list<PersistentCaller> newcomers;
     for (size_t i = 0; i < newcomer_count; ++i) {
         newcomers.emplace_back(fixture.loop, fixture.endpoint);
-        newcomers.back().send(KeptCaller::get_request);
+        newcomers.back().send(PersistentCaller::get_request);
     }
     AK::Timer stop(fixture.loop, 1ms);
     stop.async_wait([&](boost::system::error_code) {
