--- a/Tests/LibHttp/ScriptedPeer.h
+++ b/Tests/LibHttp/ScriptedPeer.h
@@ -97,7 +97,7 @@
 };
 
 /// What one exchange brought.
-struct Collected {
+struct CollectedResponse {
     ExchangeObserver observer()
     {
         return {
--- a/Tests/LibHttp/TestBackendConnection.cpp
+++ b/Tests/LibHttp/TestBackendConnection.cpp
@@ -10,7 +10,7 @@
 
 using Http::ExchangeEnd;
 using Http::HeadAction;
-using Http::Test::Collected;
+using Http::Test::CollectedResponse;
 using Http::Test::ScriptedPeer;
 
 static Http::Request post(std::string body = "question")
@@ -27,7 +27,7 @@
     Http::asio::io_context loop;
     ScriptedPeer peer(loop);
     Http::ConnectionPool pool(loop);
-    Collected collected;
+    CollectedResponse collected;
 
     auto ask = [&](std::shared_ptr<Http::BackendConnection> const& connection) {
         connection->exchange(post(), collected.observer(), 1s, 5s);
@@ -141,7 +141,7 @@
     Http::asio::io_context loop;
     ScriptedPeer peer(loop);
     Http::ConnectionPool pool(loop);
-    Collected collected;
+    CollectedResponse collected;
     peer.script("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
     auto first = pool.acquire(peer.endpoint());
     first->exchange(post(), collected.observer(), 1s, 5s);
