--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -25,7 +25,7 @@
     CallerFixture()
     {
         this->context->on_request = [this](std::shared_ptr<Exchange> exchange) {
-            ++this->taken_count;
+            ++this->accepted_count;
             this->waiting.push_back(std::move(exchange));
         };
         this->context->on_closed = [this](ConnectionClose const& close) { this->closes.push_back(close); };
@@ -43,12 +43,12 @@
         ::Test::run_until(this->loop, [this] { return this->answers() == caller_count; });
         // What is left to do here after an answer has arrived there.
         this->settle();
-        this->taken_count = 0;
+        this->accepted_count = 0;
     }
 
     void wait_for_taken(size_t count)
     {
-        ::Test::run_until(this->loop, [this, count] { return this->taken_count == count; });
+        ::Test::run_until(this->loop, [this, count] { return this->accepted_count == count; });
     }
 
     void send_all(std::string const& bytes)
@@ -81,7 +81,7 @@
     {
         auto& caller = this->callers.emplace_back(this->loop, this->endpoint);
         caller.send(PersistentCaller::get_request);
-        auto before = this->taken_count;
+        auto before = this->accepted_count;
         this->wait_for_taken(before + 1);
         this->answer_all();
         ::Test::run_until(this->loop, [&] { return caller.answers() == 1; });
@@ -115,7 +115,7 @@
     std::list<PersistentCaller> callers;
     std::vector<std::shared_ptr<Exchange>> waiting;
     std::vector<ConnectionClose> closes;
-    size_t taken_count { 0 };
+    size_t accepted_count { 0 };
 };
 
 }
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -34,7 +34,7 @@
         fixture.serve_to_the_end();
         THEN("every request is taken and answered")
         {
-            CHECK(fixture.taken_count == caller_count);
+            CHECK(fixture.accepted_count == caller_count);
             CHECK(fixture.further_answers() == caller_count);
         }
     }
@@ -48,7 +48,7 @@
         fixture.serve_to_the_end();
         THEN("every request is taken and answered")
         {
-            CHECK(fixture.taken_count == caller_count);
+            CHECK(fixture.accepted_count == caller_count);
             CHECK(fixture.further_answers() == caller_count);
         }
     }
@@ -65,7 +65,7 @@
         fixture.serve_to_the_end();
         THEN("every request is taken and answered")
         {
-            CHECK(fixture.taken_count == caller_count);
+            CHECK(fixture.accepted_count == caller_count);
             CHECK(fixture.further_answers() == caller_count);
         }
     }
@@ -142,7 +142,7 @@
         THEN("it is taken and answered, or refused and not taken")
         {
             bool const is_refused = caller.bytes().find("408") != std::string::npos;
-            CHECK(is_refused == (fixture.taken_count == 0));
+            CHECK(is_refused == (fixture.accepted_count == 0));
         }
     }
 }
--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -118,7 +118,7 @@
         caller.send(PersistentCaller::post_head);
         ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
         CHECK(is_refused());
-        CHECK(fixture.taken_count == 1);
+        CHECK(fixture.accepted_count == 1);
     }
     WHEN("the rest of its head comes in the same turn of the loop as the end of its time")
     {
@@ -134,7 +134,7 @@
             return caller.answers() == 2 || caller.is_closed();
         });
         fixture.settle();
-        CHECK(is_refused() == (fixture.taken_count == 1));
+        CHECK(is_refused() == (fixture.accepted_count == 1));
     }
 }
 
