--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -39,7 +39,7 @@
             this->callers.back().send(PersistentCaller::get_request);
         }
         ::Test::run_until(this->loop, [this] { return this->waiting.size() == caller_count; });
-        this->answer_all();
+        this->respond_to_all();
         ::Test::run_until(this->loop, [this] { return this->answers() == caller_count; });
         // What is left to do here after an answer has arrived there.
         this->settle();
@@ -57,7 +57,7 @@
             caller.send(bytes);
     }
 
-    void answer_all()
+    void respond_to_all()
     {
         for (auto const& exchange : this->waiting)
             exchange->respond(Response(Status::ok, http_1_1));
@@ -69,7 +69,7 @@
     void serve_to_the_end()
     {
         ::Test::run_until(this->loop, [this] {
-            this->answer_all();
+            this->respond_to_all();
             return std::ranges::all_of(
                 this->callers, [](auto& caller) { return caller.answers() == 2 || caller.is_closed(); });
         });
@@ -83,7 +83,7 @@
         caller.send(PersistentCaller::get_request);
         auto before = this->accepted_count;
         this->wait_for_taken(before + 1);
-        this->answer_all();
+        this->respond_to_all();
         ::Test::run_until(this->loop, [&] { return caller.answers() == 1; });
         this->settle();
         return caller;
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -88,7 +88,7 @@
         fixture.context->limits.idle_timeout = short_idle_timeout;
         caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(1);
-        fixture.answer_all();
+        fixture.respond_to_all();
         ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
         CHECK(is_told(Http::CloseReason::Idle));
         CHECK(fixture.server->open_connections() == caller_count - 1);
@@ -135,7 +135,7 @@
         ::Test::stall_for(2 * short_idle_timeout);
         caller.send(long_body);
         ::Test::run_until(fixture.loop, [&] {
-            fixture.answer_all();
+            fixture.respond_to_all();
             return caller.answers() == 2 || caller.is_closed();
         });
         fixture.loop.poll();
@@ -196,7 +196,7 @@
         fixture.context->closing = true;
         caller.send(PersistentCaller::get_request);
         ::Test::run_until(fixture.loop, [&] {
-            fixture.answer_all();
+            fixture.respond_to_all();
             return caller.is_closed();
         });
         CHECK(caller.bytes().find("Connection: close\r\n") != std::string::npos);
@@ -212,7 +212,7 @@
     ::Test::DescriptorLimit const limit(::Test::descriptors_in_use());
     newcomer.send(PersistentCaller::get_request);
     ::Test::run_until(fixture.loop, [&] {
-        fixture.answer_all();
+        fixture.respond_to_all();
         return newcomer.answers() == 1;
     });
     CHECK(fixture.closes.size() == caller_count);
--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -74,7 +74,7 @@
         auto& caller = fixture.connect_caller();
         caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(2);
-        TurnHook hook(fixture.loop, [&] { fixture.answer_all(); });
+        TurnHook hook(fixture.loop, [&] { fixture.respond_to_all(); });
         hook.ring();
         fixture.callers.clear();
         fixture.settle();
@@ -130,7 +130,7 @@
         ::Test::stall_for(2 * short_idle_timeout);
         caller.send("Host: example\r\nX: " + padding + "\r\n\r\n");
         ::Test::run_until(fixture.loop, [&] {
-            fixture.answer_all();
+            fixture.respond_to_all();
             return caller.answers() == 2 || caller.is_closed();
         });
         fixture.settle();
@@ -156,7 +156,7 @@
     });
     ::Test::stall_for(2ms);
     ::Test::run_until(fixture.loop, [&] {
-        fixture.answer_all();
+        fixture.respond_to_all();
         return std::ranges::all_of(newcomers, [](auto& caller) { return caller.answers() == 1 || caller.is_closed(); });
     });
     for (auto& caller : newcomers)
