--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -106,7 +106,7 @@
     }
 
     /// To requests sent after connect_callers().
-    size_t further_answers() { return this->answers() - caller_count; }
+    size_t further_responses() { return this->answers() - caller_count; }
 
     asio::io_context loop;
     tcp::endpoint endpoint { ::Test::free_endpoint() };
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -35,7 +35,7 @@
         THEN("every request is taken and answered")
         {
             CHECK(fixture.accepted_count == caller_count);
-            CHECK(fixture.further_answers() == caller_count);
+            CHECK(fixture.further_responses() == caller_count);
         }
     }
     GIVEN("requests that come between the loop's look at its sockets and the turns of its timers")
@@ -49,7 +49,7 @@
         THEN("every request is taken and answered")
         {
             CHECK(fixture.accepted_count == caller_count);
-            CHECK(fixture.further_answers() == caller_count);
+            CHECK(fixture.further_responses() == caller_count);
         }
     }
     GIVEN("a planned stop that closes idle connections at whatever turn of the loop")
@@ -66,7 +66,7 @@
         THEN("every request is taken and answered")
         {
             CHECK(fixture.accepted_count == caller_count);
-            CHECK(fixture.further_answers() == caller_count);
+            CHECK(fixture.further_responses() == caller_count);
         }
     }
 }
