--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -40,7 +40,7 @@
         }
         ::Test::run_until(this->loop, [this] { return this->waiting.size() == caller_count; });
         this->respond_to_all();
-        ::Test::run_until(this->loop, [this] { return this->answers() == caller_count; });
+        ::Test::run_until(this->loop, [this] { return this->responses() == caller_count; });
         // What is left to do here after an answer has arrived there.
         this->settle();
         this->accepted_count = 0;
@@ -71,7 +71,7 @@
         ::Test::run_until(this->loop, [this] {
             this->respond_to_all();
             return std::ranges::all_of(
-                this->callers, [](auto& caller) { return caller.answers() == 2 || caller.is_closed(); });
+                this->callers, [](auto& caller) { return caller.responses() == 2 || caller.is_closed(); });
         });
         this->loop.poll();
     }
@@ -84,7 +84,7 @@
         auto before = this->accepted_count;
         this->wait_for_taken(before + 1);
         this->respond_to_all();
-        ::Test::run_until(this->loop, [&] { return caller.answers() == 1; });
+        ::Test::run_until(this->loop, [&] { return caller.responses() == 1; });
         this->settle();
         return caller;
     }
@@ -97,16 +97,16 @@
     }
 
     /// Over all callers and requests.
-    size_t answers()
+    size_t responses()
     {
         size_t count = 0;
         for (auto& caller : this->callers)
-            count += caller.answers();
+            count += caller.responses();
         return count;
     }
 
     /// To requests sent after connect_callers().
-    size_t further_responses() { return this->answers() - caller_count; }
+    size_t further_responses() { return this->responses() - caller_count; }
 
     asio::io_context loop;
     tcp::endpoint endpoint { ::Test::free_endpoint() };
--- a/Tests/LibHttp/PersistentCaller.h
+++ b/Tests/LibHttp/PersistentCaller.h
@@ -41,7 +41,7 @@
     }
 
     /// Whole answers so far.
-    [[nodiscard]] size_t answers()
+    [[nodiscard]] size_t responses()
     {
         this->receive();
         size_t count = 0;
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -109,7 +109,7 @@
         {
             caller.send(PersistentCaller::post_body);
             fixture.serve_to_the_end();
-            CHECK(caller.answers() == 2);
+            CHECK(caller.responses() == 2);
             ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
             CHECK(fixture.server->open_connections() == 0);
             CHECK(fixture.context->open_requests == 0);
@@ -136,7 +136,7 @@
         caller.send(long_body);
         ::Test::run_until(fixture.loop, [&] {
             fixture.respond_to_all();
-            return caller.answers() == 2 || caller.is_closed();
+            return caller.responses() == 2 || caller.is_closed();
         });
         fixture.loop.poll();
         THEN("it is taken and answered, or refused and not taken")
@@ -213,7 +213,7 @@
     newcomer.send(PersistentCaller::get_request);
     ::Test::run_until(fixture.loop, [&] {
         fixture.respond_to_all();
-        return newcomer.answers() == 1;
+        return newcomer.responses() == 1;
     });
     CHECK(fixture.closes.size() == caller_count);
     CHECK(fixture.closes.front().reason == Http::CloseReason::CapacityNeeded);
--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -131,7 +131,7 @@
         caller.send("Host: example\r\nX: " + padding + "\r\n\r\n");
         ::Test::run_until(fixture.loop, [&] {
             fixture.respond_to_all();
-            return caller.answers() == 2 || caller.is_closed();
+            return caller.responses() == 2 || caller.is_closed();
         });
         fixture.settle();
         CHECK(is_refused() == (fixture.accepted_count == 1));
@@ -157,8 +157,9 @@
     ::Test::stall_for(2ms);
     ::Test::run_until(fixture.loop, [&] {
         fixture.respond_to_all();
-        return std::ranges::all_of(newcomers, [](auto& caller) { return caller.answers() == 1 || caller.is_closed(); });
+        return std::ranges::all_of(
+            newcomers, [](auto& caller) { return caller.responses() == 1 || caller.is_closed(); });
     });
     for (auto& caller : newcomers)
-        CHECK(caller.answers() == 1);
+        CHECK(caller.responses() == 1);
 }
