--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 /// Does something in the turn of the loop in which a byte arrives here, before what became ready later.
-struct TurnHook {
-    TurnHook(Http::asio::io_context& loop, std::function<void()> action)
+struct LoopHook {
+    LoopHook(Http::asio::io_context& loop, std::function<void()> action)
         : acceptor(loop, { Http::asio::ip::address_v4::loopback(), 0 })
         , far(loop)
         , near(loop)
@@ -74,7 +74,7 @@
         auto& caller = fixture.connect_caller();
         caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(2);
-        TurnHook hook(fixture.loop, [&] { fixture.respond_to_all(); });
+        LoopHook hook(fixture.loop, [&] { fixture.respond_to_all(); });
         hook.ring();
         fixture.callers.clear();
         fixture.settle();
@@ -89,7 +89,7 @@
         fixture.wait_for_taken(1);
         auto exchange = fixture.waiting.front();
         fixture.waiting.clear();
-        TurnHook hook(fixture.loop, [&] { exchange->abort(); });
+        LoopHook hook(fixture.loop, [&] { exchange->abort(); });
         fixture.settle();
         hook.ring();
         PersistentCaller silent(fixture.loop, fixture.endpoint);
