--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -288,9 +288,9 @@
 {
     bool moved = false;
     if (answer.has_snapshot())
-        moved |= this->follower.offer(answer.snapshot());
+        moved |= this->follower.apply(answer.snapshot());
     std::vector<wire::LogEntry> entries(answer.entries().begin(), answer.entries().end());
-    moved |= this->follower.offer(entries);
+    moved |= this->follower.apply(entries);
     if (moved)
         this->revision_moved();
 }
@@ -307,7 +307,7 @@
 
 void Node::spread_entries(std::vector<wire::LogEntry> const& entries)
 {
-    if (!this->follower.offer(entries))
+    if (!this->follower.apply(entries))
         return;
     this->revision_moved();
     wire::Envelope news;
@@ -353,7 +353,7 @@
     if (!news)
         return;
     this->configuration_known = true;
-    if (news.value().snapshot && this->follower.offer(*news.value().snapshot))
+    if (news.value().snapshot && this->follower.apply(*news.value().snapshot))
         this->revision_moved();
     if (!news.value().entries.empty())
         this->spread_entries(news.value().entries);
--- a/Tests/LibConfiguration/TestConfigurationFollower.cpp
+++ b/Tests/LibConfiguration/TestConfigurationFollower.cpp
@@ -27,7 +27,7 @@
 {
     auto log = make_log(400);
     ConfigurationFollower ahead;
-    ahead.offer(log);
+    ahead.apply(log);
 
     GIVEN("a peer a little behind")
     {
@@ -40,7 +40,7 @@
         auto answer = ahead.answer(Revision(0));
         REQUIRE(answer.has_snapshot());
         ConfigurationFollower fresh;
-        CHECK(fresh.offer(answer.snapshot()));
+        CHECK(fresh.apply(answer.snapshot()));
         CHECK(fresh.revision() == Revision(400));
     }
     GIVEN("a peer that is ahead") { CHECK(ahead.answer(Revision(500)).entries_size() == 0); }
@@ -63,9 +63,9 @@
             auto length = *rc::gen::inRange<size_t>(0, log.size() - from + 1);
             bool moved = false;
             if (*rc::gen::inRange(0, 4) == 0)
-                moved = follower.offer(states[from].snapshot());
+                moved = follower.apply(states[from].snapshot());
             else
-                moved = follower.offer(std::span(log).subspan(from, length));
+                moved = follower.apply(std::span(log).subspan(from, length));
             RC_ASSERT(follower.revision() >= before);
             RC_ASSERT(moved == (follower.revision() > before));
             // What is in force is exactly the state of its revision.
--- a/Utilities/capacitybench.cpp
+++ b/Utilities/capacitybench.cpp
@@ -141,7 +141,7 @@
     }
     auto begin = processor_seconds();
     Configuration::ConfigurationFollower follower;
-    follower.offer(log);
+    follower.apply(log);
     auto per_entry = (processor_seconds() - begin) / static_cast<double>(log.size()) * 1e6;
     auto entry_bytes = log.back().ByteSizeLong();
     log.clear();
