--- a/Libraries/LibConfiguration/ConfigurationFollower.cpp
+++ b/Libraries/LibConfiguration/ConfigurationFollower.cpp
@@ -8,7 +8,7 @@
 
 namespace Configuration {
 
-bool ConfigurationFollower::offer(std::span<wire::LogEntry const> entries)
+bool ConfigurationFollower::apply(std::span<wire::LogEntry const> entries)
 {
     auto before = this->current.revision();
     for (auto const& entry : entries) {
@@ -22,7 +22,7 @@
     return this->current.revision() > before;
 }
 
-bool ConfigurationFollower::offer(wire::ConfigurationSnapshot const& snapshot)
+bool ConfigurationFollower::apply(wire::ConfigurationSnapshot const& snapshot)
 {
     if (Revision(snapshot.revision()) <= this->current.revision())
         return false;
--- a/Libraries/LibConfiguration/ConfigurationFollower.h
+++ b/Libraries/LibConfiguration/ConfigurationFollower.h
@@ -17,9 +17,9 @@
 class ConfigurationFollower {
 public:
     /// Takes in what follows the current revision and passes over the rest. Says whether the revision moved.
-    bool offer(std::span<wire::LogEntry const> entries);
+    bool apply(std::span<wire::LogEntry const> entries);
     /// Takes in a snapshot newer than the current revision. Says whether the revision moved.
-    bool offer(wire::ConfigurationSnapshot const&);
+    bool apply(wire::ConfigurationSnapshot const&);
     /// What a peer at `revision` needs: the entries after it, or a snapshot.
     [[nodiscard]] wire::ConfigurationEntries answer(Revision revision) const;
 
