--- a/Libraries/LibConfiguration/ConfigurationFollower.cpp
+++ b/Libraries/LibConfiguration/ConfigurationFollower.cpp
@@ -31,7 +31,7 @@
     return true;
 }
 
-wire::ConfigurationEntries ConfigurationFollower::answer(Revision revision) const
+wire::ConfigurationEntries ConfigurationFollower::entries_after(Revision revision) const
 {
     wire::ConfigurationEntries answer;
     if (revision >= this->current.revision())
--- a/Libraries/LibConfiguration/ConfigurationFollower.h
+++ b/Libraries/LibConfiguration/ConfigurationFollower.h
@@ -21,7 +21,7 @@
     /// Takes in a snapshot newer than the current revision. Says whether the revision moved.
     bool apply(wire::ConfigurationSnapshot const&);
     /// What a peer at `revision` needs: the entries after it, or a snapshot.
-    [[nodiscard]] wire::ConfigurationEntries answer(Revision revision) const;
+    [[nodiscard]] wire::ConfigurationEntries entries_after(Revision revision) const;
 
     [[nodiscard]] Document const& document() const { return this->current; }
     [[nodiscard]] Revision revision() const { return this->current.revision(); }
--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -193,7 +193,7 @@
     case wire::Envelope::kConfigurationFetch: {
         wire::Envelope answer;
         *answer.mutable_configuration_entries()
-            = this->follower.answer(Revision(envelope.configuration_fetch().after_revision()));
+            = this->follower.entries_after(Revision(envelope.configuration_fetch().after_revision()));
         this->send(Address(envelope.sender_address()), std::move(answer));
         return;
     }
@@ -238,7 +238,7 @@
         this->fetch_configuration_from(sender);
     else if (!is_local && newest < this->follower.revision().value()) {
         wire::Envelope answer;
-        *answer.mutable_configuration_entries() = this->follower.answer(Revision(newest));
+        *answer.mutable_configuration_entries() = this->follower.entries_after(Revision(newest));
         this->send(sender, std::move(answer));
     }
     if (is_local && this->servers.empty()) {
--- a/Tests/LibConfiguration/TestConfigurationFollower.cpp
+++ b/Tests/LibConfiguration/TestConfigurationFollower.cpp
@@ -31,19 +31,19 @@
 
     GIVEN("a peer a little behind")
     {
-        auto answer = ahead.answer(Revision(390));
+        auto answer = ahead.entries_after(Revision(390));
         CHECK_FALSE(answer.has_snapshot());
         CHECK(answer.entries_size() == 10);
     }
     GIVEN("a peer that has just started")
     {
-        auto answer = ahead.answer(Revision(0));
+        auto answer = ahead.entries_after(Revision(0));
         REQUIRE(answer.has_snapshot());
         ConfigurationFollower fresh;
         CHECK(fresh.apply(answer.snapshot()));
         CHECK(fresh.revision() == Revision(400));
     }
-    GIVEN("a peer that is ahead") { CHECK(ahead.answer(Revision(500)).entries_size() == 0); }
+    GIVEN("a peer that is ahead") { CHECK(ahead.entries_after(Revision(500)).entries_size() == 0); }
 }
 
 TEST_CASE("in whatever order news comes, a process only moves forward", "[property]")
