--- a/Libraries/LibConfiguration/Configuration.cpp
+++ b/Libraries/LibConfiguration/Configuration.cpp
@@ -9,7 +9,7 @@
 
 namespace Configuration {
 
-static constexpr size_t longest_name = 128;
+static constexpr size_t max_name_length = 128;
 static constexpr size_t key_hash_digits = 64;
 static constexpr size_t resume_keys_kept = 4;
 static constexpr size_t smallest_secret_digits = 32;
@@ -25,7 +25,7 @@
 static Result<void> validate_name(std::string const& what, std::string const& name)
 {
     constexpr auto allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
-    if (!name.empty() && name.size() <= longest_name && name.find_first_not_of(allowed) == std::string::npos)
+    if (!name.empty() && name.size() <= max_name_length && name.find_first_not_of(allowed) == std::string::npos)
         return success();
     return invalid(what + " '" + name + "' is not a name; use 1 to 128 letters, digits, '-', '_' or '.'");
 }
