--- a/Libraries/LibConfiguration/Configuration.cpp
+++ b/Libraries/LibConfiguration/Configuration.cpp
@@ -12,7 +12,7 @@
 static constexpr size_t max_name_length = 128;
 static constexpr size_t key_hash_digits = 64;
 static constexpr size_t resume_keys_kept = 4;
-static constexpr size_t smallest_secret_digits = 32;
+static constexpr size_t min_secret_digits = 32;
 
 static Error invalid(std::string message) { return { ErrorKind::InvalidRequest, std::move(message), {} }; }
 
@@ -117,7 +117,7 @@
 static Result<void> validate_resume_key(wire::ResumeKey const& key)
 {
     TRYV(validate_name("resume key", key.id()));
-    if (key.secret_hexadecimal().size() < smallest_secret_digits || key.secret_hexadecimal().size() % 2 != 0
+    if (key.secret_hexadecimal().size() < min_secret_digits || key.secret_hexadecimal().size() % 2 != 0
         || !is_lower_hexadecimal(key.secret_hexadecimal()))
         return invalid("a resume key's secret must be at least 32 lower-case hexadecimal digits, an even number");
     return success();
