--- a/Libraries/LibConfiguration/Configuration.cpp
+++ b/Libraries/LibConfiguration/Configuration.cpp
@@ -11,7 +11,7 @@
 
 static constexpr size_t max_name_length = 128;
 static constexpr size_t key_hash_digits = 64;
-static constexpr size_t resume_keys_kept = 4;
+static constexpr size_t max_resume_keys = 4;
 static constexpr size_t min_secret_digits = 32;
 
 static Error invalid(std::string message) { return { ErrorKind::InvalidRequest, std::move(message), {} }; }
@@ -178,7 +178,7 @@
 {
     std::erase_if(this->resume_keys, [&](auto const& other) { return other.id() == key.id(); });
     this->resume_keys.push_back(key);
-    if (this->resume_keys.size() > resume_keys_kept)
+    if (this->resume_keys.size() > max_resume_keys)
         this->resume_keys.erase(this->resume_keys.begin());
 }
 
