--- a/Libraries/LibConfiguration/ConfigurationFollower.cpp
+++ b/Libraries/LibConfiguration/ConfigurationFollower.cpp
@@ -16,7 +16,7 @@
             continue;
         this->current.apply(entry);
         this->recent.push_back(entry);
-        if (this->recent.size() > kept_entries)
+        if (this->recent.size() > max_recent_entries)
             this->recent.pop_front();
     }
     return this->current.revision() > before;
--- a/Libraries/LibConfiguration/ConfigurationFollower.h
+++ b/Libraries/LibConfiguration/ConfigurationFollower.h
@@ -27,7 +27,7 @@
     [[nodiscard]] Revision revision() const { return this->current.revision(); }
 
 private:
-    static constexpr size_t kept_entries = 256;
+    static constexpr size_t max_recent_entries = 256;
 
     Document current;
     std::deque<wire::LogEntry> recent;
