--- a/Libraries/LibConfiguration/ConfigurationLog.h
+++ b/Libraries/LibConfiguration/ConfigurationLog.h
@@ -63,7 +63,7 @@
         std::string const& operator_name, std::optional<Revision> expected_revision)
     {
         bool may_have_been_accepted = false;
-        for (int round = 0; round < largest_round_count; ++round) {
+        for (int round = 0; round < max_rounds; ++round) {
             auto outcome = this->try_append(document, change, change_id, operator_name, expected_revision);
             if (!outcome && may_have_been_accepted && outcome.error().kind == ErrorKind::PlatformUnavailable)
                 return Platform::platform_answer_lost("read back failed; repeat the call with the same change id");
@@ -139,7 +139,7 @@
     }
 
 private:
-    static constexpr int largest_round_count = 8;
+    static constexpr int max_rounds = 8;
     static constexpr u64 revisions_per_snapshot = 256;
     static constexpr auto snapshot_key = "configuration/snapshot";
     static constexpr auto head_key = "configuration/head";
