--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -145,7 +145,7 @@
     this->note_readiness();
     this->last_beat_milliseconds = now_milliseconds();
     ++this->beat_count;
-    this->report(this->member_table.beat(now()));
+    this->report(this->member_table.advance_heartbeat(now()));
     std::erase_if(this->leaving_servers, [](auto const& entry) { return now() - entry.second > leaving_memory; });
     auto is_full = this->beat_count <= this->full_gossip_until_beat || this->beat_count % full_gossip_period == 0;
     auto detail = is_full ? Membership::GossipDetail::Full : Membership::GossipDetail::Compact;
@@ -454,7 +454,7 @@
         return;
     this->event_log.record(EventNumber::ProcessLeaving, this->node_settings.member.value(), "planned stop");
     this->member_table.set_own_leaving();
-    (void)this->member_table.beat(now());
+    (void)this->member_table.advance_heartbeat(now());
     for (auto const& member : this->member_table.others())
         this->send_gossip(member.address, Membership::GossipDetail::Full);
 }
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -34,8 +34,8 @@
 {
     MemberTable own(row("router-1", 10), silence);
     MemberTable other(row("router-2", 20), silence);
-    (void)own.beat(at(0));
-    (void)other.beat(at(0));
+    (void)own.advance_heartbeat(at(0));
+    (void)other.advance_heartbeat(at(0));
     auto events = own.receive(other.gossip(domain, GossipDetail::Full), at(0));
     REQUIRE(events.size() == 1);
     CHECK(events[0].change == MemberChange::Joined);
@@ -44,10 +44,10 @@
     {
         auto old_view = other.gossip(domain, GossipDetail::Full);
         for (int second = 1; second <= 5; ++second) {
-            CHECK(own.beat(at(second)).empty());
+            CHECK(own.advance_heartbeat(at(second)).empty());
             CHECK(own.receive(old_view, at(second)).empty());
         }
-        auto lost = own.beat(at(6));
+        auto lost = own.advance_heartbeat(at(6));
         THEN("the member is lost, and its old view does not bring it back")
         {
             REQUIRE(lost.size() == 1);
@@ -57,7 +57,7 @@
         }
         THEN("a newer heartbeat does")
         {
-            (void)other.beat(at(7));
+            (void)other.advance_heartbeat(at(7));
             CHECK(own.receive(other.gossip(domain, GossipDetail::Full), at(7)).size() == 1);
         }
     }
@@ -75,7 +75,7 @@
     WHEN("the member leaves")
     {
         other.set_own_leaving();
-        (void)other.beat(at(1));
+        (void)other.advance_heartbeat(at(1));
         auto leaving = own.receive(other.gossip(domain, GossipDetail::Full), at(1));
         REQUIRE(leaving.size() == 1);
         CHECK(leaving[0].change == MemberChange::Leaving);
@@ -116,7 +116,7 @@
     size_t lost = 0;
     for (int second = 1; second <= 2000; ++second) {
         for (auto& member : members)
-            lost += member.beat(at(second)).size();
+            lost += member.advance_heartbeat(at(second)).size();
         for (auto const& member : members) {
             for (auto const& target : member.draw_targets(fanout, random))
                 (void)members[number_of[target]].receive(member.gossip(domain, GossipDetail::Compact), at(second));
@@ -139,11 +139,11 @@
     (void)own.receive(relay.gossip(domain, GossipDetail::Full), at(0));
     REQUIRE(own.find(MemberId("router-3")));
     for (int second = 1; second <= 10; ++second) {
-        (void)third.beat(at(second));
-        (void)relay.beat(at(second));
+        (void)third.advance_heartbeat(at(second));
+        (void)relay.advance_heartbeat(at(second));
         (void)relay.receive(third.gossip(domain, GossipDetail::Full), at(second));
         CHECK(own.receive(relay.gossip(domain, GossipDetail::Compact), at(second)).empty());
-        CHECK(own.beat(at(second)).empty());
+        CHECK(own.advance_heartbeat(at(second)).empty());
     }
     CHECK(own.find(MemberId("router-3"))->address == Address("127.0.0.1:1"));
     WHEN("it starts again")
@@ -172,7 +172,7 @@
     CHECK(owners.size() == 6);
     MemberTable leaver(row("router-3", 1), silence);
     leaver.set_own_leaving();
-    (void)leaver.beat(at(0));
+    (void)leaver.advance_heartbeat(at(0));
     (void)table.receive(leaver.gossip(domain, GossipDetail::Full), at(0));
     for (auto const& [key, owner] : before) {
         auto now = table.owner_of(key, wire::ROLE_ROUTER)->id;
--- a/Utilities/capacitybench.cpp
+++ b/Utilities/capacitybench.cpp
@@ -169,13 +169,13 @@
     FailureDomainId domain("domain-17");
     Instant now;
     for (auto& member : members) {
-        (void)member.beat(now);
+        (void)member.advance_heartbeat(now);
         for (auto& other : members)
             (void)other.receive(member.gossip(domain, Membership::GossipDetail::Full), now);
     }
     size_t bytes = 0;
     auto time = microseconds_of([&] {
-        (void)members[0].beat(now);
+        (void)members[0].advance_heartbeat(now);
         auto frame = members[0].gossip(domain, Membership::GossipDetail::Compact).SerializeAsString();
         bytes = frame.size();
         wire::Gossip parsed;
