--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -17,7 +17,7 @@
 {
 }
 
-std::vector<MemberEvent> MemberTable::beat(Instant now)
+std::vector<MemberEvent> MemberTable::advance_heartbeat(Instant now)
 {
     ++this->self.heartbeat;
     this->self.last_advance = now;
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -63,7 +63,7 @@
     MemberTable(MemberRow self, Duration silence_limit);
 
     /// Raises this member's own heartbeat and drops members silent for too long.
-    std::vector<MemberEvent> beat(Instant now);
+    std::vector<MemberEvent> advance_heartbeat(Instant now);
     /// Takes in another member's view.
     std::vector<MemberEvent> receive(wire::Gossip const&, Instant now);
     /// This member's view, to be sent.
