--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -135,7 +135,7 @@
     return result;
 }
 
-std::vector<Address> MemberTable::draw_targets(size_t count, std::mt19937& random) const
+std::vector<Address> MemberTable::sample_targets(size_t count, std::mt19937& random) const
 {
     std::vector<Address> known;
     for (auto const& [id, row] : this->rows)
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -74,7 +74,7 @@
     [[nodiscard]] MemberRow const& own() const { return this->self; }
     /// Whom to send the next view: up to `count` others, drawn anew each time. Not in turn: members that start together
     /// would all send to the same ones at the same time, and each would hear nothing for long in between.
-    [[nodiscard]] std::vector<Address> draw_targets(size_t count, std::mt19937& random) const;
+    [[nodiscard]] std::vector<Address> sample_targets(size_t count, std::mt19937& random) const;
     /// Every other live member.
     [[nodiscard]] std::vector<MemberRow> others() const;
     [[nodiscard]] MemberRow const* find(MemberId const&) const;
--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -92,7 +92,7 @@
 
 std::vector<Address> Node::gossip_targets()
 {
-    auto targets = this->member_table.draw_targets(gossip_fanout, this->random);
+    auto targets = this->member_table.sample_targets(gossip_fanout, this->random);
     // One seed a beat that is not known as a member: it may have started since, or come back.
     std::vector<Address> unknown;
     for (auto const& seed : this->node_settings.peers) {
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -118,7 +118,7 @@
         for (auto& member : members)
             lost += member.advance_heartbeat(at(second)).size();
         for (auto const& member : members) {
-            for (auto const& target : member.draw_targets(fanout, random))
+            for (auto const& target : member.sample_targets(fanout, random))
                 (void)members[number_of[target]].receive(member.gossip(domain, GossipDetail::Compact), at(second));
         }
     }
