--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -36,7 +36,7 @@
 }
 
 /// Enough of an incarnation to tell two starts of one member apart; a mistake would only keep a dead one for a while.
-static u32 check_of(Incarnation incarnation)
+static u32 truncated_incarnation(Incarnation incarnation)
 {
     constexpr u64 check_mask = 0x3fff;
     return static_cast<u32>(incarnation.value() & check_mask);
@@ -73,7 +73,7 @@
 void MemberTable::receive_compact(wire::MemberState const& state, Revision sender_revision, Instant now)
 {
     auto known = this->rows.find(MemberId(state.id()));
-    if (known == this->rows.end() || check_of(known->second.incarnation) != state.incarnation_check()
+    if (known == this->rows.end() || truncated_incarnation(known->second.incarnation) != state.incarnation_check()
         || state.heartbeat() <= known->second.heartbeat)
         return;
     known->second.heartbeat = state.heartbeat();
@@ -108,7 +108,7 @@
 {
     state.set_id(row.id.value());
     state.set_heartbeat(row.heartbeat);
-    state.set_incarnation_check(check_of(row.incarnation));
+    state.set_incarnation_check(truncated_incarnation(row.incarnation));
 }
 
 wire::Gossip MemberTable::gossip(FailureDomainId const& domain, GossipDetail detail) const
