--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -67,11 +67,11 @@
 {
     this->event_log.record(EventNumber::ProcessStarted, this->node_settings.member.value(),
         "in failure domain " + this->node_settings.failure_domain.value());
-    this->event_loop.every(this->node_settings.heartbeat_period, [this] { this->beat(); });
+    this->event_loop.every(this->node_settings.heartbeat_period, [this] { this->run_heartbeat(); });
     this->event_loop.every(this->node_settings.configuration_poll_period, [this] { this->poll_configuration(); });
     this->event_loop.every(this->node_settings.backend_list_poll_period, [this] { this->poll_backend_servers(); });
     this->event_loop.after(0s, [this] {
-        this->beat();
+        this->run_heartbeat();
         this->poll_configuration();
         this->poll_backend_servers();
     });
@@ -140,7 +140,7 @@
         "at revision " + std::to_string(this->follower.revision().value()));
 }
 
-void Node::beat()
+void Node::run_heartbeat()
 {
     this->note_readiness();
     this->last_beat_milliseconds = now_milliseconds();
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -88,7 +88,7 @@
     void receive_entries(wire::ConfigurationEntries const&);
     void receive_events_fetch(wire::Envelope const&);
     void report(std::vector<Membership::MemberEvent> const&);
-    void beat();
+    void run_heartbeat();
     void note_readiness();
     void look_for_router();
     void send_gossip(Address const& peer, Membership::GossipDetail);
