--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -100,7 +100,7 @@
             unknown.push_back(seed);
     }
     if (!unknown.empty())
-        targets.push_back(unknown[this->beat_count % unknown.size()]);
+        targets.push_back(unknown[this->heartbeat_count % unknown.size()]);
     return targets;
 }
 
@@ -116,13 +116,13 @@
 void Node::send_remote_digest()
 {
     auto const& remote = this->node_settings.remote_peers;
-    if (remote.empty() || !this->is_poller() || this->beat_count % remote_digest_beats != 0)
+    if (remote.empty() || !this->is_poller() || this->heartbeat_count % remote_digest_beats != 0)
         return;
     wire::Envelope envelope;
     auto whole = this->member_table.gossip(this->node_settings.failure_domain, Membership::GossipDetail::Compact);
     envelope.mutable_gossip()->set_failure_domain(this->node_settings.failure_domain.value());
     *envelope.mutable_gossip()->add_members() = whole.members(0);
-    this->send(remote[this->beat_count / remote_digest_beats % remote.size()], std::move(envelope));
+    this->send(remote[this->heartbeat_count / remote_digest_beats % remote.size()], std::move(envelope));
 }
 
 void Node::look_for_router()
@@ -144,10 +144,11 @@
 {
     this->note_readiness();
     this->last_beat_milliseconds = now_milliseconds();
-    ++this->beat_count;
+    ++this->heartbeat_count;
     this->report(this->member_table.advance_heartbeat(now()));
     std::erase_if(this->leaving_servers, [](auto const& entry) { return now() - entry.second > leaving_memory; });
-    auto is_full = this->beat_count <= this->full_gossip_until_beat || this->beat_count % full_gossip_period == 0;
+    auto is_full
+        = this->heartbeat_count <= this->full_gossip_until_beat || this->heartbeat_count % full_gossip_period == 0;
     auto detail = is_full ? Membership::GossipDetail::Full : Membership::GossipDetail::Compact;
     for (auto const& target : this->gossip_targets())
         this->send_gossip(target, detail);
@@ -178,7 +179,7 @@
     }
     if (events.empty())
         return;
-    this->full_gossip_until_beat = this->beat_count + full_gossip_beats_after_change;
+    this->full_gossip_until_beat = this->heartbeat_count + full_gossip_beats_after_change;
     this->look_for_router();
     for (auto const& handler : this->member_handlers)
         handler();
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -125,7 +125,7 @@
     std::vector<std::function<void()>> revision_handlers;
     std::vector<std::function<void()>> member_handlers;
     std::vector<std::function<void()>> backend_handlers;
-    u64 beat_count { 0 };
+    u64 heartbeat_count { 0 };
     std::mt19937 random;
     /// Up to this beat views go out in full, because members have come or gone.
     u64 full_gossip_until_beat { 0 };
