--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -148,7 +148,7 @@
     this->report(this->member_table.advance_heartbeat(now()));
     std::erase_if(this->leaving_servers, [](auto const& entry) { return now() - entry.second > leaving_memory; });
     auto is_full
-        = this->heartbeat_count <= this->full_gossip_until_beat || this->heartbeat_count % full_gossip_period == 0;
+        = this->heartbeat_count <= this->full_gossip_until_heartbeat || this->heartbeat_count % full_gossip_period == 0;
     auto detail = is_full ? Membership::GossipDetail::Full : Membership::GossipDetail::Compact;
     for (auto const& target : this->gossip_targets())
         this->send_gossip(target, detail);
@@ -179,7 +179,7 @@
     }
     if (events.empty())
         return;
-    this->full_gossip_until_beat = this->heartbeat_count + full_gossip_beats_after_change;
+    this->full_gossip_until_heartbeat = this->heartbeat_count + full_gossip_beats_after_change;
     this->look_for_router();
     for (auto const& handler : this->member_handlers)
         handler();
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -128,7 +128,7 @@
     u64 heartbeat_count { 0 };
     std::mt19937 random;
     /// Up to this beat views go out in full, because members have come or gone.
-    u64 full_gossip_until_beat { 0 };
+    u64 full_gossip_until_heartbeat { 0 };
     bool configuration_poll_runs { false };
     bool backend_poll_runs { false };
     Instant last_configuration_poll;
