--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -57,7 +57,7 @@
     , member_table(own_row(this->node_settings), this->node_settings.silence_limit)
     , random(std::random_device {}())
     , last_platform_contact(now())
-    , last_beat_milliseconds(now_milliseconds())
+    , last_heartbeat_milliseconds(now_milliseconds())
     , background_caller(this->event_loop, background_threads)
 {
     this->peer_transport.on_message([this](wire::Envelope const& envelope) { this->receive(envelope); });
@@ -143,7 +143,7 @@
 void Node::run_heartbeat()
 {
     this->note_readiness();
-    this->last_beat_milliseconds = now_milliseconds();
+    this->last_heartbeat_milliseconds = now_milliseconds();
     ++this->heartbeat_count;
     this->report(this->member_table.advance_heartbeat(now()));
     std::erase_if(this->leaving_servers, [](auto const& entry) { return now() - entry.second > leaving_memory; });
@@ -473,7 +473,7 @@
 
 bool Node::is_live() const
 {
-    return now_milliseconds() - this->last_beat_milliseconds < AK::to_milliseconds(loop_is_stuck_after);
+    return now_milliseconds() - this->last_heartbeat_milliseconds < AK::to_milliseconds(loop_is_stuck_after);
 }
 
 }
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -141,7 +141,7 @@
     /// Of use to gateways only; true for the others from the start.
     std::atomic<bool> router_known { false };
     std::atomic<bool> leaving { false };
-    std::atomic<i64> last_beat_milliseconds;
+    std::atomic<i64> last_heartbeat_milliseconds;
     // Last, so that its threads end before anything they use.
     Core::BackgroundCaller background_caller;
 };
