--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -18,7 +18,7 @@
 static constexpr auto reader_key = "platform-reader";
 static constexpr size_t gossip_fanout = 2;
 // Views go out in full for some beats after members came or went, and now and then in any case.
-static constexpr u64 full_gossip_beats_after_change = 4;
+static constexpr u64 full_gossip_heartbeats_after_change = 4;
 static constexpr u64 full_gossip_period = 16;
 static constexpr u64 remote_digest_beats = 5;
 static constexpr Duration leaving_memory = 60s;
@@ -179,7 +179,7 @@
     }
     if (events.empty())
         return;
-    this->full_gossip_until_heartbeat = this->heartbeat_count + full_gossip_beats_after_change;
+    this->full_gossip_until_heartbeat = this->heartbeat_count + full_gossip_heartbeats_after_change;
     this->look_for_router();
     for (auto const& handler : this->member_handlers)
         handler();
