--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -20,7 +20,7 @@
 // Views go out in full for some beats after members came or went, and now and then in any case.
 static constexpr u64 full_gossip_heartbeats_after_change = 4;
 static constexpr u64 full_gossip_period = 16;
-static constexpr u64 remote_digest_beats = 5;
+static constexpr u64 remote_digest_heartbeats = 5;
 static constexpr Duration leaving_memory = 60s;
 static constexpr Duration stale_after = 30s;
 static constexpr Duration loop_is_stuck_after = 5s;
@@ -116,13 +116,13 @@
 void Node::send_remote_digest()
 {
     auto const& remote = this->node_settings.remote_peers;
-    if (remote.empty() || !this->is_poller() || this->heartbeat_count % remote_digest_beats != 0)
+    if (remote.empty() || !this->is_poller() || this->heartbeat_count % remote_digest_heartbeats != 0)
         return;
     wire::Envelope envelope;
     auto whole = this->member_table.gossip(this->node_settings.failure_domain, Membership::GossipDetail::Compact);
     envelope.mutable_gossip()->set_failure_domain(this->node_settings.failure_domain.value());
     *envelope.mutable_gossip()->add_members() = whole.members(0);
-    this->send(remote[this->heartbeat_count / remote_digest_beats % remote.size()], std::move(envelope));
+    this->send(remote[this->heartbeat_count / remote_digest_heartbeats % remote.size()], std::move(envelope));
 }
 
 void Node::look_for_router()
