--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -330,14 +330,14 @@
     this->last_configuration_poll = now();
     this->background_caller.submit(
         [this, revision = this->follower.revision()] { return this->read_configuration_news(revision); },
-        [this](Result<ConfigurationNews> const& news) { this->take_news(news); });
+        [this](Result<ConfigurationUpdate> const& news) { this->take_news(news); });
 }
 
 /// On a background thread: touches nothing but the platform's client.
-Result<Node::ConfigurationNews> Node::read_configuration_news(Revision known)
+Result<Node::ConfigurationUpdate> Node::read_configuration_news(Revision known)
 {
     Configuration::ConfigurationLog log(this->platform_client);
-    ConfigurationNews news;
+    ConfigurationUpdate news;
     if (known == Revision(0)) {
         TRY(news.snapshot, log.read_snapshot());
         if (news.snapshot)
@@ -347,7 +347,7 @@
     return news;
 }
 
-void Node::take_news(Result<ConfigurationNews> const& news)
+void Node::take_news(Result<ConfigurationUpdate> const& news)
 {
     this->configuration_poll_runs = false;
     this->platform_answered(without_value(news));
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -97,12 +97,12 @@
     void fetch_configuration_from(Address const& peer);
     void poll_configuration();
     /// What one look at the configuration log brought.
-    struct ConfigurationNews {
+    struct ConfigurationUpdate {
         std::optional<wire::ConfigurationSnapshot> snapshot;
         std::vector<wire::LogEntry> entries;
     };
-    Result<ConfigurationNews> read_configuration_news(Revision known);
-    void take_news(Result<ConfigurationNews> const&);
+    Result<ConfigurationUpdate> read_configuration_news(Revision known);
+    void take_news(Result<ConfigurationUpdate> const&);
     void poll_backend_servers();
     void spread_backend_servers();
     void take_backend_servers(std::vector<Platform::BackendServerRecord>);
