--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -329,12 +329,12 @@
     this->configuration_poll_runs = true;
     this->last_configuration_poll = now();
     this->background_caller.submit(
-        [this, revision = this->follower.revision()] { return this->read_configuration_news(revision); },
+        [this, revision = this->follower.revision()] { return this->read_configuration_update(revision); },
         [this](Result<ConfigurationUpdate> const& news) { this->take_news(news); });
 }
 
 /// On a background thread: touches nothing but the platform's client.
-Result<Node::ConfigurationUpdate> Node::read_configuration_news(Revision known)
+Result<Node::ConfigurationUpdate> Node::read_configuration_update(Revision known)
 {
     Configuration::ConfigurationLog log(this->platform_client);
     ConfigurationUpdate news;
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -101,7 +101,7 @@
         std::optional<wire::ConfigurationSnapshot> snapshot;
         std::vector<wire::LogEntry> entries;
     };
-    Result<ConfigurationUpdate> read_configuration_news(Revision known);
+    Result<ConfigurationUpdate> read_configuration_update(Revision known);
     void take_news(Result<ConfigurationUpdate> const&);
     void poll_backend_servers();
     void spread_backend_servers();
