--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -330,7 +330,7 @@
     this->last_configuration_poll = now();
     this->background_caller.submit(
         [this, revision = this->follower.revision()] { return this->read_configuration_update(revision); },
-        [this](Result<ConfigurationUpdate> const& news) { this->take_news(news); });
+        [this](Result<ConfigurationUpdate> const& news) { this->apply_configuration_update(news); });
 }
 
 /// On a background thread: touches nothing but the platform's client.
@@ -347,7 +347,7 @@
     return news;
 }
 
-void Node::take_news(Result<ConfigurationUpdate> const& news)
+void Node::apply_configuration_update(Result<ConfigurationUpdate> const& news)
 {
     this->configuration_poll_runs = false;
     this->platform_answered(without_value(news));
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -102,7 +102,7 @@
         std::vector<wire::LogEntry> entries;
     };
     Result<ConfigurationUpdate> read_configuration_update(Revision known);
-    void take_news(Result<ConfigurationUpdate> const&);
+    void apply_configuration_update(Result<ConfigurationUpdate> const&);
     void poll_backend_servers();
     void spread_backend_servers();
     void take_backend_servers(std::vector<Platform::BackendServerRecord>);
