--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -216,7 +216,7 @@
         auto is_from_reader = reader && reader->id == MemberId(envelope.sender());
         // Another peer's list only stands in for one that has not come yet.
         if (parsed && (is_from_reader || this->servers.empty()))
-            this->take_backend_servers(std::move(parsed.value()));
+            this->apply_backend_servers(std::move(parsed.value()));
         return;
     }
     default:
@@ -400,7 +400,7 @@
             this->platform_answered(without_value(list));
             if (!list || list.value() == this->servers)
                 return;
-            this->take_backend_servers(std::move(list.value()));
+            this->apply_backend_servers(std::move(list.value()));
             this->spread_backend_servers();
         });
 }
@@ -413,7 +413,7 @@
         this->send(member.address, news);
 }
 
-void Node::take_backend_servers(std::vector<Platform::BackendServerRecord> list)
+void Node::apply_backend_servers(std::vector<Platform::BackendServerRecord> list)
 {
     if (list == this->servers)
         return;
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -105,7 +105,7 @@
     void apply_configuration_update(Result<ConfigurationUpdate> const&);
     void poll_backend_servers();
     void spread_backend_servers();
-    void take_backend_servers(std::vector<Platform::BackendServerRecord>);
+    void apply_backend_servers(std::vector<Platform::BackendServerRecord>);
     void revision_moved();
     void platform_answered(Result<void> const&);
     [[nodiscard]] bool is_poller() const;
