--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -130,7 +130,7 @@
     this->router_known = this->node_settings.role != wire::ROLE_GATEWAY || this->owner_of(reader_key);
 }
 
-void Node::note_readiness()
+void Node::record_readiness()
 {
     this->look_for_router();
     if (this->readiness_noted || !this->is_ready())
@@ -142,7 +142,7 @@
 
 void Node::run_heartbeat()
 {
-    this->note_readiness();
+    this->record_readiness();
     this->last_heartbeat_milliseconds = now_milliseconds();
     ++this->heartbeat_count;
     this->report(this->member_table.advance_heartbeat(now()));
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -89,7 +89,7 @@
     void receive_events_fetch(wire::Envelope const&);
     void report(std::vector<Membership::MemberEvent> const&);
     void run_heartbeat();
-    void note_readiness();
+    void record_readiness();
     void look_for_router();
     void send_gossip(Address const& peer, Membership::GossipDetail);
     void send_remote_digest();
