--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -133,9 +133,9 @@
 void Node::record_readiness()
 {
     this->look_for_router();
-    if (this->readiness_noted || !this->is_ready())
+    if (this->readiness_recorded || !this->is_ready())
         return;
-    this->readiness_noted = true;
+    this->readiness_recorded = true;
     this->event_log.record(EventNumber::ProcessReady, this->node_settings.member.value(),
         "at revision " + std::to_string(this->follower.revision().value()));
 }
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -136,7 +136,7 @@
     Instant last_platform_contact;
     bool platform_is_available { true };
     bool staleness_reported { false };
-    bool readiness_noted { false };
+    bool readiness_recorded { false };
     std::atomic<bool> configuration_known { false };
     /// Of use to gateways only; true for the others from the start.
     std::atomic<bool> router_known { false };
