--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -436,12 +436,12 @@
     if (!is_new)
         return;
     this->event_log.record(EventNumber::EngineLeaving, id.value(), "takes no new work");
-    this->tell_everyone_of_leaving_servers();
+    this->broadcast_leaving_servers();
     for (auto const& handler : this->backend_handlers)
         handler();
 }
 
-void Node::tell_everyone_of_leaving_servers()
+void Node::broadcast_leaving_servers()
 {
     for (auto const& member : this->member_table.others())
         this->send_gossip(member.address, Membership::GossipDetail::Full);
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -109,7 +109,7 @@
     void revision_moved();
     void platform_answered(Result<void> const&);
     [[nodiscard]] bool is_poller() const;
-    void tell_everyone_of_leaving_servers();
+    void broadcast_leaving_servers();
 
     NodeSettings node_settings;
     Core::EventLoop event_loop;
