--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -306,7 +306,7 @@
         handler();
 }
 
-void Node::spread_entries(std::vector<wire::LogEntry> const& entries)
+void Node::broadcast_entries(std::vector<wire::LogEntry> const& entries)
 {
     if (!this->follower.apply(entries))
         return;
@@ -357,7 +357,7 @@
     if (news.value().snapshot && this->follower.apply(*news.value().snapshot))
         this->revision_moved();
     if (!news.value().entries.empty())
-        this->spread_entries(news.value().entries);
+        this->broadcast_entries(news.value().entries);
 }
 
 Duration Node::since_platform_contact() const { return now() - this->last_platform_contact; }
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -53,7 +53,7 @@
 
     [[nodiscard]] Configuration::Document const& configuration() const { return this->follower.document(); }
     /// Entries accepted by this process itself, and entries read from the table, go to every other member at once.
-    void spread_entries(std::vector<wire::LogEntry> const& entries);
+    void broadcast_entries(std::vector<wire::LogEntry> const& entries);
     [[nodiscard]] std::vector<Platform::BackendServerRecord> const& backend_servers() const { return this->servers; }
     /// Whether a backend server must get no new work: by the platform's list, by its own word, or by an operator.
     [[nodiscard]] bool is_leaving(EngineId const&) const;
--- a/Libraries/LibOperator/OperatorLoop.cpp
+++ b/Libraries/LibOperator/OperatorLoop.cpp
@@ -210,7 +210,7 @@
             auto const& accepted = applied.outcome.value();
             this->node.events().record(EventNumber::ChangeAccepted, change_id,
                 "by " + name + " as revision " + std::to_string(accepted.revision.value()));
-            this->node.spread_entries(applied.entries);
+            this->node.broadcast_entries(applied.entries);
             wire::ApplyReply reply;
             reply.set_revision(accepted.revision.value());
             reply.set_repeated(accepted.repeated);
