--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -401,11 +401,11 @@
             if (!list || list.value() == this->servers)
                 return;
             this->apply_backend_servers(std::move(list.value()));
-            this->spread_backend_servers();
+            this->broadcast_backend_servers();
         });
 }
 
-void Node::spread_backend_servers()
+void Node::broadcast_backend_servers()
 {
     wire::Envelope news;
     news.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -104,7 +104,7 @@
     Result<ConfigurationUpdate> read_configuration_update(Revision known);
     void apply_configuration_update(Result<ConfigurationUpdate> const&);
     void poll_backend_servers();
-    void spread_backend_servers();
+    void broadcast_backend_servers();
     void apply_backend_servers(std::vector<Platform::BackendServerRecord>);
     void revision_moved();
     void platform_answered(Result<void> const&);
