--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -125,14 +125,14 @@
     this->send(remote[this->heartbeat_count / remote_digest_heartbeats % remote.size()], std::move(envelope));
 }
 
-void Node::look_for_router()
+void Node::update_router_known()
 {
     this->router_known = this->node_settings.role != wire::ROLE_GATEWAY || this->owner_of(reader_key);
 }
 
 void Node::record_readiness()
 {
-    this->look_for_router();
+    this->update_router_known();
     if (this->readiness_recorded || !this->is_ready())
         return;
     this->readiness_recorded = true;
@@ -180,7 +180,7 @@
     if (events.empty())
         return;
     this->full_gossip_until_heartbeat = this->heartbeat_count + full_gossip_heartbeats_after_change;
-    this->look_for_router();
+    this->update_router_known();
     for (auto const& handler : this->member_handlers)
         handler();
 }
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -90,7 +90,7 @@
     void report(std::vector<Membership::MemberEvent> const&);
     void run_heartbeat();
     void record_readiness();
-    void look_for_router();
+    void update_router_known();
     void send_gossip(Address const& peer, Membership::GossipDetail);
     void send_remote_digest();
     [[nodiscard]] std::vector<Address> gossip_targets();
