--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -350,7 +350,7 @@
 void Node::apply_configuration_update(Result<ConfigurationUpdate> const& news)
 {
     this->configuration_poll_runs = false;
-    this->platform_answered(without_value(news));
+    this->record_platform_result(without_value(news));
     if (!news)
         return;
     this->configuration_known = true;
@@ -362,7 +362,7 @@
 
 Duration Node::since_platform_contact() const { return now() - this->last_platform_contact; }
 
-void Node::platform_answered(Result<void> const& answer)
+void Node::record_platform_result(Result<void> const& answer)
 {
     if (answer) {
         this->last_platform_contact = now();
@@ -397,7 +397,7 @@
         [this] { return this->platform_client.list_backend_servers(this->node_settings.failure_domain); },
         [this](Result<std::vector<Platform::BackendServerRecord>> list) {
             this->backend_poll_runs = false;
-            this->platform_answered(without_value(list));
+            this->record_platform_result(without_value(list));
             if (!list || list.value() == this->servers)
                 return;
             this->apply_backend_servers(std::move(list.value()));
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -107,7 +107,7 @@
     void broadcast_backend_servers();
     void apply_backend_servers(std::vector<Platform::BackendServerRecord>);
     void revision_moved();
-    void platform_answered(Result<void> const&);
+    void record_platform_result(Result<void> const&);
     [[nodiscard]] bool is_poller() const;
     void broadcast_leaving_servers();
 
