--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -51,7 +51,7 @@
 Node::Node(NodeSettings settings)
     : node_settings(std::move(settings))
     , event_log(this->node_settings.member)
-    , platform_client(this->node_settings.platform, this->node_settings.platform_patience)
+    , platform_client(this->node_settings.platform, this->node_settings.platform_timeout)
     , peer_transport(this->event_loop, this->event_log, this->metric_set, this->node_settings.peer_listen,
           this->node_settings.curve)
     , member_table(own_row(this->node_settings), this->node_settings.silence_limit)
--- a/Libraries/LibNode/NodeSettings.cpp
+++ b/Libraries/LibNode/NodeSettings.cpp
@@ -23,7 +23,7 @@
     settings.peers = to_addresses(reader.address_list("node.peers"));
     settings.remote_peers = to_addresses(reader.address_list("node.remote_peers"));
     settings.platform = Address(reader.address("node.platform"));
-    settings.platform_patience = reader.duration_or("node.platform_patience", settings.platform_patience);
+    settings.platform_timeout = reader.duration_or("node.platform_patience", settings.platform_timeout);
     settings.status_listen = Address(reader.address("node.status_listen"));
     settings.heartbeat_period = reader.duration_or("node.heartbeat_period", settings.heartbeat_period);
     settings.silence_limit = reader.duration_or("node.silence_limit", settings.silence_limit);
--- a/Libraries/LibNode/NodeSettings.h
+++ b/Libraries/LibNode/NodeSettings.h
@@ -27,7 +27,7 @@
     /// Daemons of other failure domains, one or two each, to learn of newer revisions from when the platform is out.
     std::vector<Address> remote_peers;
     Address platform;
-    Duration platform_patience { 2s };
+    Duration platform_timeout { 2s };
     /// Health, metrics and events over HTTP.
     Address status_listen;
     Duration heartbeat_period { 1s };
--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -158,7 +158,7 @@
     for (size_t i = 0; i < this->size.routers; ++i)
         settings.peers.push_back(own_address(first_router_port + static_cast<int>(i)));
     settings.platform = this->platform->address(0);
-    settings.platform_patience = 1s;
+    settings.platform_timeout = 1s;
     settings.status_listen = Address("127.0.0.1:0");
     settings.heartbeat_period = 100ms;
     settings.silence_limit = 1s;
