--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -25,7 +25,7 @@
 static constexpr Duration stale_after = 30s;
 static constexpr Duration loop_is_stuck_after = 5s;
 static constexpr size_t background_threads = 4;
-static constexpr size_t largest_event_batch = 2000;
+static constexpr size_t max_event_batch = 2000;
 
 static Instant now() { return AK::BootClock::now(); }
 
@@ -261,7 +261,7 @@
     auto const& fetch = envelope.events_fetch();
     wire::Envelope answer;
     answer.set_correlation(envelope.correlation());
-    auto maximum = std::min<size_t>(fetch.maximum(), largest_event_batch);
+    auto maximum = std::min<size_t>(fetch.maximum(), max_event_batch);
     auto* batch = answer.mutable_event_batch();
     for (auto const& event : this->event_log.latest(maximum, fetch.subject())) {
         auto* record = batch->add_events();
