--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -21,7 +21,7 @@
 static constexpr u64 full_gossip_heartbeats_after_change = 4;
 static constexpr u64 full_gossip_period = 16;
 static constexpr u64 remote_digest_heartbeats = 5;
-static constexpr Duration leaving_memory = 60s;
+static constexpr Duration leaving_server_retention = 60s;
 static constexpr Duration stale_after = 30s;
 static constexpr Duration loop_is_stuck_after = 5s;
 static constexpr size_t background_threads = 4;
@@ -146,7 +146,8 @@
     this->last_heartbeat_milliseconds = now_milliseconds();
     ++this->heartbeat_count;
     this->report(this->member_table.advance_heartbeat(now()));
-    std::erase_if(this->leaving_servers, [](auto const& entry) { return now() - entry.second > leaving_memory; });
+    std::erase_if(
+        this->leaving_servers, [](auto const& entry) { return now() - entry.second > leaving_server_retention; });
     auto is_full
         = this->heartbeat_count <= this->full_gossip_until_heartbeat || this->heartbeat_count % full_gossip_period == 0;
     auto detail = is_full ? Membership::GossipDetail::Full : Membership::GossipDetail::Compact;
