--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -23,7 +23,7 @@
 static constexpr u64 remote_digest_heartbeats = 5;
 static constexpr Duration leaving_server_retention = 60s;
 static constexpr Duration stale_after = 30s;
-static constexpr Duration loop_is_stuck_after = 5s;
+static constexpr Duration loop_stuck_timeout = 5s;
 static constexpr size_t background_threads = 4;
 static constexpr size_t max_event_batch = 2000;
 
@@ -474,7 +474,7 @@
 
 bool Node::is_live() const
 {
-    return now_milliseconds() - this->last_heartbeat_milliseconds < AK::to_milliseconds(loop_is_stuck_after);
+    return now_milliseconds() - this->last_heartbeat_milliseconds < AK::to_milliseconds(loop_stuck_timeout);
 }
 
 }
