--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -22,7 +22,7 @@
 static constexpr u64 full_gossip_period = 16;
 static constexpr u64 remote_digest_heartbeats = 5;
 static constexpr Duration leaving_server_retention = 60s;
-static constexpr Duration stale_after = 30s;
+static constexpr Duration staleness_limit = 30s;
 static constexpr Duration loop_stuck_timeout = 5s;
 static constexpr size_t background_threads = 4;
 static constexpr size_t max_event_batch = 2000;
@@ -377,11 +377,11 @@
         this->event_log.record(EventNumber::PlatformUnavailable, "platform",
             "serving on revision " + std::to_string(this->follower.revision().value()) + ": " + answer.error().message);
     this->platform_is_available = false;
-    if (this->staleness_reported || this->since_platform_contact() < stale_after)
+    if (this->staleness_reported || this->since_platform_contact() < staleness_limit)
         return;
     this->staleness_reported = true;
     this->event_log.record(EventNumber::ConfigurationStale, std::to_string(this->follower.revision().value()),
-        "the platform has not answered for " + std::to_string(stale_after / 1s) + " s; newer changes may exist");
+        "the platform has not answered for " + std::to_string(staleness_limit / 1s) + " s; newer changes may exist");
 }
 
 // Backend servers
