--- a/Libraries/LibNode/StatusServer.cpp
+++ b/Libraries/LibNode/StatusServer.cpp
@@ -36,9 +36,9 @@
     {
         auto const& path = request.getURI();
         if (path == "/health/live")
-            this->answer_health(response, this->node.is_live(), this->node.is_live() ? "live" : "the loop is stuck");
+            this->respond_health(response, this->node.is_live(), this->node.is_live() ? "live" : "the loop is stuck");
         else if (path == "/health/ready")
-            this->answer_health(response, this->node.is_ready(), this->node.readiness_reason());
+            this->respond_health(response, this->node.is_ready(), this->node.readiness_reason());
         else if (path == "/metrics")
             answer(response, HTTPResponse::HTTP_OK, this->node.metrics().text());
         else if (path == "/events")
@@ -49,7 +49,7 @@
     }
 
 private:
-    void answer_health(Poco::Net::HTTPServerResponse& response, bool is_good, std::string const& reason)
+    void respond_health(Poco::Net::HTTPServerResponse& response, bool is_good, std::string const& reason)
     {
         answer(response, is_good ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_SERVICE_UNAVAILABLE, reason + '\n');
     }
