--- a/Libraries/LibNode/StatusServer.cpp
+++ b/Libraries/LibNode/StatusServer.cpp
@@ -18,7 +18,7 @@
 
 static constexpr size_t events_shown = 1000;
 
-static void answer(Poco::Net::HTTPServerResponse& response, HTTPResponse::HTTPStatus status, std::string const& body)
+static void respond(Poco::Net::HTTPServerResponse& response, HTTPResponse::HTTPStatus status, std::string const& body)
 {
     response.setStatusAndReason(status);
     response.setContentType("text/plain; charset=utf-8");
@@ -40,18 +40,18 @@
         else if (path == "/health/ready")
             this->respond_health(response, this->node.is_ready(), this->node.readiness_reason());
         else if (path == "/metrics")
-            answer(response, HTTPResponse::HTTP_OK, this->node.metrics().text());
+            respond(response, HTTPResponse::HTTP_OK, this->node.metrics().text());
         else if (path == "/events")
-            answer(response, HTTPResponse::HTTP_OK, this->events());
+            respond(response, HTTPResponse::HTTP_OK, this->events());
         else
-            answer(response, HTTPResponse::HTTP_NOT_FOUND,
+            respond(response, HTTPResponse::HTTP_NOT_FOUND,
                 "no such page; there are /health/live, /health/ready, /metrics and /events\n");
     }
 
 private:
     void respond_health(Poco::Net::HTTPServerResponse& response, bool is_good, std::string const& reason)
     {
-        answer(response, is_good ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_SERVICE_UNAVAILABLE, reason + '\n');
+        respond(response, is_good ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_SERVICE_UNAVAILABLE, reason + '\n');
     }
 
     std::string events()
