--- a/Libraries/LibRouter/ClaimDesk.cpp
+++ b/Libraries/LibRouter/ClaimHandler.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <LibCore/Clock.h>
-#include <LibRouter/ClaimDesk.h>
+#include <LibRouter/ClaimHandler.h>
 
 namespace Router {
 
@@ -14,21 +14,21 @@
 static constexpr Duration sweep_period = 20s;
 static constexpr size_t rows_per_sweep = 500;
 
-ClaimDesk::ClaimDesk(Node::Node& node, Duration period)
+ClaimHandler::ClaimHandler(Node::Node& node, Duration period)
     : node(node)
 {
     node.loop().every(period, [this] { this->flush(); });
     node.loop().every(sweep_period, [this] { this->sweep(); });
 }
 
-void ClaimDesk::receive(wire::ClaimRequest const& request, Address const& sender)
+void ClaimHandler::receive(wire::ClaimRequest const& request, Address const& sender)
 {
     // A question asked again while its answer is on the way is answered twice, with the same answer: the nonce says so.
     this->waiting.push_back(
         { { OrganisationId(request.organisation()), request.idempotency_key(), request.nonce() }, sender });
 }
 
-void ClaimDesk::receive(wire::ClaimRelease const& release)
+void ClaimHandler::receive(wire::ClaimRelease const& release)
 {
     this->releases.push_back({ OrganisationId(release.organisation()), release.idempotency_key(), release.nonce() });
 }
@@ -48,7 +48,7 @@
         (void)platform.commit(transaction);
 }
 
-void ClaimDesk::flush()
+void ClaimHandler::flush()
 {
     if (this->is_writing || (this->waiting.empty() && this->releases.empty()))
         return;
@@ -70,7 +70,7 @@
         [this, batch](std::vector<Platform::ClaimVerdict> const& verdicts) { this->answer(batch, verdicts); });
 }
 
-void ClaimDesk::sweep()
+void ClaimHandler::sweep()
 {
     auto const* owner = this->node.owner_of("claims");
     if (!owner || owner->id != this->node.settings().member)
@@ -98,7 +98,7 @@
     return wire::CLAIM_UNKNOWN;
 }
 
-void ClaimDesk::answer(std::vector<WaitingClaim> const& batch, std::vector<Platform::ClaimVerdict> const& verdicts)
+void ClaimHandler::answer(std::vector<WaitingClaim> const& batch, std::vector<Platform::ClaimVerdict> const& verdicts)
 {
     this->is_writing = false;
     this->node.metrics().add("lilac_claims_total", batch.size());
--- a/Libraries/LibRouter/ClaimDesk.h
+++ b/Libraries/LibRouter/ClaimHandler.h
@@ -15,9 +15,9 @@
 /// Collects the claims of a failure domain and writes them together, one transaction at a time, so that the number of
 /// writes does not grow with the number of calls. Which router does it is not agreed on: two at once only share the
 /// work, since the table decides. Loop thread only.
-class ClaimDesk {
+class ClaimHandler {
 public:
-    ClaimDesk(Node::Node&, Duration period);
+    ClaimHandler(Node::Node&, Duration period);
 
     void receive(wire::ClaimRequest const&, Address const& sender);
     void receive(wire::ClaimRelease const&);
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <LibNode/Node.h>
-#include <LibRouter/ClaimDesk.h>
+#include <LibRouter/ClaimHandler.h>
 #include <LibRouter/EngineControl.h>
 #include <LibRouter/OrderKeeper.h>
 #include <LibRouter/RouterSettings.h>
@@ -81,7 +81,7 @@
     Node::Node& node;
     RouterSettings const& settings;
     Scheduling::PolicyConstants constants;
-    ClaimDesk claim_desk;
+    ClaimHandler claim_desk;
     OrderKeeper order_keeper;
     std::map<ModelId, std::unique_ptr<Pool>> pools;
     std::unordered_map<GenerationId, ModelId> pool_of_generation;
