--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -21,7 +21,7 @@
 RouterLoop::RouterLoop(Node::Node& node, RouterSettings const& settings)
     : node(node)
     , settings(settings)
-    , claim_desk(node, settings.claim_period)
+    , claim_handler(node, settings.claim_period)
     , order_keeper(node, settings)
 {
     node.on_message([this](wire::Envelope const& envelope) { this->receive(envelope); });
@@ -196,10 +196,10 @@
         this->receive(envelope.live_generations());
         return;
     case wire::Envelope::kClaimRequest:
-        this->claim_desk.receive(envelope.claim_request(), sender);
+        this->claim_handler.receive(envelope.claim_request(), sender);
         return;
     case wire::Envelope::kClaimRelease:
-        this->claim_desk.receive(envelope.claim_release());
+        this->claim_handler.receive(envelope.claim_release());
         return;
     default:
         return;
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -81,7 +81,7 @@
     Node::Node& node;
     RouterSettings const& settings;
     Scheduling::PolicyConstants constants;
-    ClaimHandler claim_desk;
+    ClaimHandler claim_handler;
     OrderKeeper order_keeper;
     std::map<ModelId, std::unique_ptr<Pool>> pools;
     std::unordered_map<GenerationId, ModelId> pool_of_generation;
