--- a/Libraries/LibRouter/ClaimHandler.cpp
+++ b/Libraries/LibRouter/ClaimHandler.cpp
@@ -67,7 +67,7 @@
                 release_claims(platform, released);
             return Platform::ClaimBatch(platform, Core::SystemClock().wall_milliseconds()).make(claims);
         },
-        [this, batch](std::vector<Platform::ClaimVerdict> const& verdicts) { this->answer(batch, verdicts); });
+        [this, batch](std::vector<Platform::ClaimVerdict> const& verdicts) { this->respond(batch, verdicts); });
 }
 
 void ClaimHandler::sweep()
@@ -98,7 +98,7 @@
     return wire::CLAIM_UNKNOWN;
 }
 
-void ClaimHandler::answer(std::vector<WaitingClaim> const& batch, std::vector<Platform::ClaimVerdict> const& verdicts)
+void ClaimHandler::respond(std::vector<WaitingClaim> const& batch, std::vector<Platform::ClaimVerdict> const& verdicts)
 {
     this->is_writing = false;
     this->node.metrics().add("lilac_claims_total", batch.size());
--- a/Libraries/LibRouter/ClaimHandler.h
+++ b/Libraries/LibRouter/ClaimHandler.h
@@ -30,7 +30,7 @@
 
     void flush();
     void sweep();
-    void answer(std::vector<WaitingClaim> const&, std::vector<Platform::ClaimVerdict> const&);
+    void respond(std::vector<WaitingClaim> const&, std::vector<Platform::ClaimVerdict> const&);
 
     Node::Node& node;
     std::vector<WaitingClaim> waiting;
