--- a/Libraries/LibRouter/ClaimHandler.cpp
+++ b/Libraries/LibRouter/ClaimHandler.cpp
@@ -107,7 +107,7 @@
         wire::Envelope envelope;
         envelope.mutable_claim_reply()->set_nonce(batch[i].claim.nonce);
         envelope.mutable_claim_reply()->set_answer(to_answer(verdicts[i]));
-        this->node.send(batch[i].asker, std::move(envelope));
+        this->node.send(batch[i].requester, std::move(envelope));
     }
 }
 
--- a/Libraries/LibRouter/ClaimHandler.h
+++ b/Libraries/LibRouter/ClaimHandler.h
@@ -25,7 +25,7 @@
 private:
     struct WaitingClaim {
         Platform::Claim claim;
-        Address asker;
+        Address requester;
     };
 
     void flush();
