--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -169,7 +169,7 @@
     for (auto const& [generation, attempt] :
         pool.scheduler.find_unlisted_generations(id, listed, now() - unlisted_limit)) {
         pool.scheduler.finished(generation, attempt, Scheduling::EndReason::Censored, TokenCount(0), now());
-        pool.askers.erase(generation);
+        pool.requesters.erase(generation);
         this->pool_of_generation.erase(generation);
     }
 }
@@ -249,7 +249,7 @@
     submit.deadline = std::chrono::milliseconds(request.deadline_milliseconds());
     for (auto const& engine : request.excluded_engines())
         submit.excluded_engines.emplace_back(engine);
-    pool.askers[submit.generation] = sender;
+    pool.requesters[submit.generation] = sender;
     this->pool_of_generation[submit.generation] = pool.model;
     this->node.metrics().add("lilac_place_requests_total");
     auto was_known = pool.scheduler.knows(submit.generation);
@@ -288,7 +288,7 @@
     pool->scheduler.finished(generation, AttemptNumber(finished.attempt()), to_end_reason(finished.reason()),
         TokenCount(finished.output_tokens()), now());
     if (!pool->scheduler.knows(generation)) {
-        pool->askers.erase(generation);
+        pool->requesters.erase(generation);
         this->pool_of_generation.erase(generation);
         this->node.events().record(EventNumber::GenerationFinished, finished.generation(),
             std::to_string(finished.output_tokens()) + " tokens");
@@ -336,7 +336,7 @@
     reply->set_engine(action.engine.value());
     reply->set_engine_address(action.address.value());
     reply->set_priority(action.priority);
-    this->node.send(pool.askers[action.generation], std::move(envelope));
+    this->node.send(pool.requesters[action.generation], std::move(envelope));
     this->node.events().record(
         EventNumber::GenerationPlaced, action.generation.value(), "at " + action.engine.value() + ", " + action.reason);
 }
@@ -351,10 +351,10 @@
     reply->set_error_message(action.error.message);
     if (action.error.retry_after)
         reply->set_retry_after_milliseconds(static_cast<u32>(AK::to_milliseconds(*action.error.retry_after)));
-    this->node.send(pool.askers[action.generation], std::move(envelope));
+    this->node.send(pool.requesters[action.generation], std::move(envelope));
     this->node.events().record(EventNumber::GenerationRefused, action.generation.value(), action.error.message);
     this->node.metrics().add("lilac_refusals_total");
-    pool.askers.erase(action.generation);
+    pool.requesters.erase(action.generation);
     this->pool_of_generation.erase(action.generation);
 }
 
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -50,7 +50,7 @@
         Scheduler scheduler;
         std::map<EngineId, EngineState> engines;
         /// Where each generation's gateway is, and when it was placed.
-        std::unordered_map<GenerationId, Address> askers;
+        std::unordered_map<GenerationId, Address> requesters;
         bool is_own { false };
         Instant last_asked;
     };
