--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -123,9 +123,9 @@
 
 void RouterLoop::poll_engine(Pool& pool, EngineState& engine)
 {
-    if (engine.is_being_asked)
+    if (engine.is_being_polled)
         return;
-    engine.is_being_asked = true;
+    engine.is_being_polled = true;
     this->node.background().submit(
         [address = engine.record.address, after = engine.cache_sequence, patience = this->settings.engine_patience] {
             return fetch_report(address, after, patience);
@@ -141,7 +141,7 @@
     if (found == pool.engines.end())
         return;
     auto& engine = found->second;
-    engine.is_being_asked = false;
+    engine.is_being_polled = false;
     if (!result)
         return;
     auto const& report = result.value();
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -34,7 +34,7 @@
 
     struct EngineState {
         Platform::BackendServerRecord record;
-        bool is_being_asked { false };
+        bool is_being_polled { false };
         u64 cache_sequence { 0 };
         bool is_silent { false };
     };
