--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -102,7 +102,7 @@
     }
 }
 
-bool RouterLoop::is_in_use(Pool const& pool) { return pool.is_own || now() - pool.last_asked < asked_pool_memory; }
+bool RouterLoop::is_in_use(Pool const& pool) { return pool.is_own || now() - pool.last_requested < asked_pool_memory; }
 
 void RouterLoop::take_up(Pool& pool)
 {
@@ -234,7 +234,7 @@
     auto& pool = this->pool_of(ModelId(route->model()));
     if (!is_in_use(pool))
         this->take_up(pool);
-    pool.last_asked = now();
+    pool.last_requested = now();
     Scheduling::SubmitRequest submit;
     submit.generation = GenerationId(request.generation());
     submit.attempt = AttemptNumber(request.attempt());
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -52,7 +52,7 @@
         /// Where each generation's gateway is, and when it was placed.
         std::unordered_map<GenerationId, Address> requesters;
         bool is_own { false };
-        Instant last_asked;
+        Instant last_requested;
     };
 
     void receive(wire::Envelope const&);
