--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -14,7 +14,7 @@
 // A generation the engine no longer lists is given up after this long, should its gateway have died.
 static constexpr Duration unlisted_limit = 3s;
 // A pool that was asked about is kept up to date for a while, whoever owns it.
-static constexpr Duration asked_pool_memory = 30s;
+static constexpr Duration requested_pool_retention = 30s;
 
 static Instant now() { return AK::BootClock::now(); }
 
@@ -102,7 +102,10 @@
     }
 }
 
-bool RouterLoop::is_in_use(Pool const& pool) { return pool.is_own || now() - pool.last_requested < asked_pool_memory; }
+bool RouterLoop::is_in_use(Pool const& pool)
+{
+    return pool.is_own || now() - pool.last_requested < requested_pool_retention;
+}
 
 void RouterLoop::take_up(Pool& pool)
 {
