--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -95,7 +95,7 @@
         if (is_own == pool->is_own)
             continue;
         if (is_own && !is_in_use(*pool))
-            this->take_up(*pool);
+            this->start_polling(*pool);
         pool->is_own = is_own;
         this->node.events().record(
             is_own ? EventNumber::OwnershipTaken : EventNumber::OwnershipGivenUp, model.value(), "pool of this domain");
@@ -107,7 +107,7 @@
     return pool.is_own || now() - pool.last_requested < requested_pool_retention;
 }
 
-void RouterLoop::take_up(Pool& pool)
+void RouterLoop::start_polling(Pool& pool)
 {
     pool.scheduler.expect_reports(now());
     for (auto& [id, engine] : pool.engines)
@@ -236,7 +236,7 @@
     }
     auto& pool = this->pool_of(ModelId(route->model()));
     if (!is_in_use(pool))
-        this->take_up(pool);
+        this->start_polling(pool);
     pool.last_requested = now();
     Scheduling::SubmitRequest submit;
     submit.generation = GenerationId(request.generation());
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -68,7 +68,7 @@
     /// Whether the pool's engines are asked all the time.
     [[nodiscard]] static bool is_in_use(Pool const&);
     /// Begins to ask the engines of a pool that was not in use.
-    void take_up(Pool&);
+    void start_polling(Pool&);
     void poll_engine(Pool&, EngineState&);
     void take_report(ModelId const&, EngineId const&, Result<EngineReport> const&);
     void drop_unknown_generations(Pool&, EngineId const&, EngineReport const&);
