--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -134,10 +134,10 @@
             return fetch_report(address, after, patience);
         },
         [this, model = pool.model, id = engine.record.id](
-            Result<EngineReport> const& report) { this->take_report(model, id, report); });
+            Result<EngineReport> const& report) { this->handle_report(model, id, report); });
 }
 
-void RouterLoop::take_report(ModelId const& model, EngineId const& id, Result<EngineReport> const& result)
+void RouterLoop::handle_report(ModelId const& model, EngineId const& id, Result<EngineReport> const& result)
 {
     auto& pool = *this->pools[model];
     auto found = pool.engines.find(id);
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -70,7 +70,7 @@
     /// Begins to ask the engines of a pool that was not in use.
     void start_polling(Pool&);
     void poll_engine(Pool&, EngineState&);
-    void take_report(ModelId const&, EngineId const&, Result<EngineReport> const&);
+    void handle_report(ModelId const&, EngineId const&, Result<EngineReport> const&);
     void drop_unknown_generations(Pool&, EngineId const&, EngineReport const&);
     void carry_out(Pool&, std::vector<Scheduling::Action> const&);
     void carry_out(Pool&, Scheduling::PlaceAction const&);
