--- a/Libraries/LibRouter/OrderKeeper.cpp
+++ b/Libraries/LibRouter/OrderKeeper.cpp
@@ -65,7 +65,7 @@
     auto text = "epoch " + std::to_string(order.epoch.value()) + " revision " + std::to_string(order.revision.value());
     this->node.background().submit(
         [until = *may_act_until, address = engine.address, order,
-            patience = this->settings.engine_patience]() -> Result<void> {
+            patience = this->settings.engine_timeout]() -> Result<void> {
             // The thread may have been held up since the loop looked.
             if (now() >= until)
                 return Error { ErrorKind::FencedOut, "the lease lapsed before the order left; the next holder gives it",
--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -130,7 +130,7 @@
         return;
     engine.is_being_polled = true;
     this->node.background().submit(
-        [address = engine.record.address, after = engine.cache_sequence, patience = this->settings.engine_patience] {
+        [address = engine.record.address, after = engine.cache_sequence, patience = this->settings.engine_timeout] {
             return fetch_report(address, after, patience);
         },
         [this, model = pool.model, id = engine.record.id](
--- a/Libraries/LibRouter/RouterSettings.h
+++ b/Libraries/LibRouter/RouterSettings.h
@@ -15,7 +15,7 @@
     Node::NodeSettings node;
     Duration tick_period { 50ms };
     Duration load_poll_period { 500ms };
-    Duration engine_patience { 1s };
+    Duration engine_timeout { 1s };
     /// Claims wait so long to be written together: 22 domains then stay under 100 writes a second.
     Duration claim_period { 250ms };
     /// A lease for orders to engines lasts so long, and is renewed at a third of it.
@@ -29,7 +29,7 @@
     settings.node = Node::read_node_settings(reader, wire::ROLE_ROUTER);
     settings.tick_period = reader.duration_or("router.tick_period", settings.tick_period);
     settings.load_poll_period = reader.duration_or("router.load_poll_period", settings.load_poll_period);
-    settings.engine_patience = reader.duration_or("router.engine_patience", settings.engine_patience);
+    settings.engine_timeout = reader.duration_or("router.engine_patience", settings.engine_timeout);
     settings.claim_period = reader.duration_or("router.claim_period", settings.claim_period);
     settings.lease_term = reader.duration_or("router.lease_term", settings.lease_term);
     settings.lease_margin = reader.duration_or("router.lease_margin", settings.lease_margin);
