--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -361,7 +361,7 @@
     this->pool_of_generation.erase(action.generation);
 }
 
-void RouterLoop::note_silent_engines(Pool& pool)
+void RouterLoop::record_silent_engines(Pool& pool)
 {
     // Only the owner asks engines all the time; to others they are silent as a matter of course.
     if (!pool.is_own)
@@ -378,7 +378,7 @@
 {
     for (auto& [model, pool] : this->pools) {
         this->carry_out(*pool, pool->scheduler.tick(now()));
-        this->note_silent_engines(*pool);
+        this->record_silent_engines(*pool);
     }
     this->node.metrics().set("lilac_queued_generations", static_cast<double>(this->queued_count()));
 }
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -75,7 +75,7 @@
     void carry_out(Pool&, std::vector<Scheduling::Action> const&);
     void carry_out(Pool&, Scheduling::PlaceAction const&);
     void carry_out(Pool&, Scheduling::RefuseAction const&);
-    void note_silent_engines(Pool&);
+    void record_silent_engines(Pool&);
     void tick();
 
     Node::Node& node;
