--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -163,7 +163,7 @@
     engine.cache_sequence = report.cache_sequence;
     this->drop_unknown_generations(pool, id, report);
     this->order_keeper.engine_reported(engine.record, report.adapters);
-    this->carry_out(pool, pool.scheduler.admit(now()));
+    this->execute(pool, pool.scheduler.admit(now()));
 }
 
 void RouterLoop::drop_unknown_generations(Pool& pool, EngineId const& id, EngineReport const& report)
@@ -257,7 +257,7 @@
     this->node.metrics().add("lilac_place_requests_total");
     auto was_known = pool.scheduler.knows(submit.generation);
     pool.scheduler.submit(submit, now());
-    this->carry_out(pool, pool.scheduler.admit(now()));
+    this->execute(pool, pool.scheduler.admit(now()));
     if (!pool.scheduler.is_queued(submit.generation))
         return;
     if (!was_known)
@@ -296,7 +296,7 @@
         this->node.events().record(EventNumber::GenerationFinished, finished.generation(),
             std::to_string(finished.output_tokens()) + " tokens");
     }
-    this->carry_out(*pool, pool->scheduler.admit(now()));
+    this->execute(*pool, pool->scheduler.admit(now()));
 }
 
 void RouterLoop::receive(wire::LiveGenerations const& live)
@@ -324,13 +324,13 @@
 
 // Actions
 
-void RouterLoop::carry_out(Pool& pool, std::vector<Scheduling::Action> const& actions)
+void RouterLoop::execute(Pool& pool, std::vector<Scheduling::Action> const& actions)
 {
     for (auto const& action : actions)
-        std::visit([&](auto const& kind) { this->carry_out(pool, kind); }, action);
+        std::visit([&](auto const& kind) { this->execute(pool, kind); }, action);
 }
 
-void RouterLoop::carry_out(Pool& pool, Scheduling::PlaceAction const& action)
+void RouterLoop::execute(Pool& pool, Scheduling::PlaceAction const& action)
 {
     wire::Envelope envelope;
     auto* reply = envelope.mutable_place_reply();
@@ -344,7 +344,7 @@
         EventNumber::GenerationPlaced, action.generation.value(), "at " + action.engine.value() + ", " + action.reason);
 }
 
-void RouterLoop::carry_out(Pool& pool, Scheduling::RefuseAction const& action)
+void RouterLoop::execute(Pool& pool, Scheduling::RefuseAction const& action)
 {
     wire::Envelope envelope;
     auto* reply = envelope.mutable_place_reply();
@@ -377,7 +377,7 @@
 void RouterLoop::tick()
 {
     for (auto& [model, pool] : this->pools) {
-        this->carry_out(*pool, pool->scheduler.tick(now()));
+        this->execute(*pool, pool->scheduler.tick(now()));
         this->record_silent_engines(*pool);
     }
     this->node.metrics().set("lilac_queued_generations", static_cast<double>(this->queued_count()));
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -72,9 +72,9 @@
     void poll_engine(Pool&, EngineState&);
     void handle_report(ModelId const&, EngineId const&, Result<EngineReport> const&);
     void drop_unknown_generations(Pool&, EngineId const&, EngineReport const&);
-    void carry_out(Pool&, std::vector<Scheduling::Action> const&);
-    void carry_out(Pool&, Scheduling::PlaceAction const&);
-    void carry_out(Pool&, Scheduling::RefuseAction const&);
+    void execute(Pool&, std::vector<Scheduling::Action> const&);
+    void execute(Pool&, Scheduling::PlaceAction const&);
+    void execute(Pool&, Scheduling::RefuseAction const&);
     void record_silent_engines(Pool&);
     void tick();
 
