--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -44,7 +44,7 @@
     return *pool;
 }
 
-RouterLoop::Pool* RouterLoop::pool_holding(GenerationId const& generation)
+RouterLoop::Pool* RouterLoop::find_pool_of(GenerationId const& generation)
 {
     auto found = this->pool_of_generation.find(generation);
     return found == this->pool_of_generation.end() ? nullptr : this->pools[found->second].get();
@@ -188,7 +188,7 @@
         return;
     case wire::Envelope::kStarted: {
         GenerationId generation(envelope.started().generation());
-        if (auto* pool = this->pool_holding(generation))
+        if (auto* pool = this->find_pool_of(generation))
             pool->scheduler.first_token(generation, now());
         return;
     }
@@ -285,7 +285,7 @@
 void RouterLoop::receive(wire::GenerationFinished const& finished)
 {
     GenerationId generation(finished.generation());
-    auto* pool = this->pool_holding(generation);
+    auto* pool = this->find_pool_of(generation);
     if (!pool)
         return;
     pool->scheduler.finished(generation, AttemptNumber(finished.attempt()), to_end_reason(finished.reason()),
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -60,7 +60,7 @@
     void receive(wire::GenerationFinished const&);
     void receive(wire::LiveGenerations const&);
     Pool& pool_of(ModelId const&);
-    Pool* pool_holding(GenerationId const&);
+    Pool* find_pool_of(GenerationId const&);
     void update_engines(Pool&);
     void update_all_engines();
     void update_ownership();
