--- a/Libraries/LibRouter/ClaimHandler.cpp
+++ b/Libraries/LibRouter/ClaimHandler.cpp
@@ -9,7 +9,7 @@
 
 namespace Router {
 
-static constexpr size_t largest_batch = 200;
+static constexpr size_t max_batch_size = 200;
 // A write each period at most, for all domains together by the share of the owners: few beside those of the claims.
 static constexpr Duration sweep_period = 20s;
 static constexpr size_t rows_per_sweep = 500;
@@ -53,7 +53,7 @@
     if (this->is_writing || (this->waiting.empty() && this->releases.empty()))
         return;
     this->is_writing = true;
-    auto count = std::min(this->waiting.size(), largest_batch);
+    auto count = std::min(this->waiting.size(), max_batch_size);
     std::vector<WaitingClaim> batch(this->waiting.begin(), this->waiting.begin() + static_cast<std::ptrdiff_t>(count));
     this->waiting.erase(this->waiting.begin(), this->waiting.begin() + static_cast<std::ptrdiff_t>(count));
     std::vector<Platform::Claim> claims;
