--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -12,7 +12,7 @@
 using Core::EventNumber;
 
 // A generation the engine no longer lists is given up after this long, should its gateway have died.
-static constexpr Duration unlisted_limit = 3s;
+static constexpr Duration unlisted_timeout = 3s;
 // A pool that was asked about is kept up to date for a while, whoever owns it.
 static constexpr Duration requested_pool_retention = 30s;
 
@@ -170,7 +170,7 @@
 {
     std::set<GenerationId> listed(report.generations.begin(), report.generations.end());
     for (auto const& [generation, attempt] :
-        pool.scheduler.find_unlisted_generations(id, listed, now() - unlisted_limit)) {
+        pool.scheduler.find_unlisted_generations(id, listed, now() - unlisted_timeout)) {
         pool.scheduler.finished(generation, attempt, Scheduling::EndReason::Censored, TokenCount(0), now());
         pool.requesters.erase(generation);
         this->pool_of_generation.erase(generation);
