--- a/Libraries/LibRouter/OrderKeeper.cpp
+++ b/Libraries/LibRouter/OrderKeeper.cpp
@@ -20,11 +20,11 @@
           // Apart from those of earlier starts of this member by far more than one start can use.
           Core::SystemClock().wall_milliseconds() << 16))
 {
-    node.loop().every(settings.lease_term / 3, [this] { this->keep(); });
-    node.loop().after(0s, [this] { this->keep(); });
+    node.loop().every(settings.lease_term / 3, [this] { this->renew_lease(); });
+    node.loop().after(0s, [this] { this->renew_lease(); });
 }
 
-void OrderKeeper::keep()
+void OrderKeeper::renew_lease()
 {
     if (this->is_keeping || this->node.is_leaving_itself())
         return;
--- a/Libraries/LibRouter/OrderKeeper.h
+++ b/Libraries/LibRouter/OrderKeeper.h
@@ -28,7 +28,7 @@
     void engine_reported(Platform::BackendServerRecord const&, std::vector<std::string> const& adapters);
 
 private:
-    void keep();
+    void renew_lease();
     [[nodiscard]] std::set<std::string> wanted_adapters(ModelId const&) const;
 
     Node::Node& node;
