--- a/Libraries/LibRouter/OrderKeeper.cpp
+++ b/Libraries/LibRouter/OrderKeeper.cpp
@@ -26,9 +26,9 @@
 
 void OrderKeeper::renew_lease()
 {
-    if (this->is_keeping || this->node.is_leaving_itself())
+    if (this->is_renewing || this->node.is_leaving_itself())
         return;
-    this->is_keeping = true;
+    this->is_renewing = true;
     auto& platform = this->node.platform();
     this->node.background().submit(
         [lease = this->lease, &platform] {
@@ -36,7 +36,7 @@
             return lease->may_act(now());
         },
         [this](bool is_holder) {
-            this->is_keeping = false;
+            this->is_renewing = false;
             if (is_holder != this->was_holder)
                 this->node.events().record(is_holder ? EventNumber::LeaseTaken : EventNumber::LeaseLapsed,
                     this->lease->row_key(), "epoch " + std::to_string(this->lease->epoch().value()));
@@ -56,7 +56,7 @@
 void OrderKeeper::engine_reported(Platform::BackendServerRecord const& engine, std::vector<std::string> const& adapters)
 {
     auto wanted = this->wanted_adapters(engine.model);
-    if (wanted == std::set(adapters.begin(), adapters.end()) || this->is_keeping)
+    if (wanted == std::set(adapters.begin(), adapters.end()) || this->is_renewing)
         return;
     auto may_act_until = this->lease->may_act_until();
     if (!may_act_until || now() >= *may_act_until || !this->orders_under_way.insert(engine.id).second)
--- a/Libraries/LibRouter/OrderKeeper.h
+++ b/Libraries/LibRouter/OrderKeeper.h
@@ -35,7 +35,7 @@
     RouterSettings const& settings;
     // Touched by one background call at a time, and by the loop only between calls.
     std::shared_ptr<Platform::Lease> lease;
-    bool is_keeping { false };
+    bool is_renewing { false };
     bool was_holder { false };
     std::set<EngineId> orders_under_way;
 };
