--- a/Libraries/LibRouter/OrderKeeper.cpp
+++ b/Libraries/LibRouter/OrderKeeper.cpp
@@ -59,7 +59,7 @@
     if (wanted == std::set(adapters.begin(), adapters.end()) || this->is_renewing)
         return;
     auto may_act_until = this->lease->may_act_until();
-    if (!may_act_until || now() >= *may_act_until || !this->orders_under_way.insert(engine.id).second)
+    if (!may_act_until || now() >= *may_act_until || !this->orders_in_flight.insert(engine.id).second)
         return;
     EngineOrder order { this->lease->epoch(), this->node.configuration().revision(), { wanted.begin(), wanted.end() } };
     auto text = "epoch " + std::to_string(order.epoch.value()) + " revision " + std::to_string(order.revision.value());
@@ -73,7 +73,7 @@
             return send_order(address, order, patience);
         },
         [this, id = engine.id, text](Result<void> const& result) {
-            this->orders_under_way.erase(id);
+            this->orders_in_flight.erase(id);
             if (result)
                 this->node.events().record(EventNumber::OrderSent, id.value(), text);
             else
--- a/Libraries/LibRouter/OrderKeeper.h
+++ b/Libraries/LibRouter/OrderKeeper.h
@@ -37,7 +37,7 @@
     std::shared_ptr<Platform::Lease> lease;
     bool is_renewing { false };
     bool was_holder { false };
-    std::set<EngineId> orders_under_way;
+    std::set<EngineId> orders_in_flight;
 };
 
 }
