--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -12,16 +12,17 @@
 
 namespace Http {
 
-/// A kept connection is used again within this time unless the peer names a shorter one. Backend servers close idle
-/// connections after some seconds; a request that crosses the close may or may not have run.
+/// A persistent connection is reused for at most this long after its last response, or less if the peer advertises a
+/// shorter time. Backend servers close idle connections after a few seconds. A request sent while the peer closes the
+/// connection may or may not have run.
 static constexpr Duration default_idle_limit = 1500ms;
-/// Taken off the time that a peer names in Keep-Alive, for the way there and its rounding.
+/// Subtracted from the peer's Keep-Alive timeout, which is in whole seconds, to allow for network delay and rounding.
 static constexpr Duration idle_limit_margin = 500ms;
-/// Stands before the seconds in Keep-Alive.
+/// The parameter of the Keep-Alive field that holds the idle timeout in seconds.
 static constexpr std::string_view idle_limit_parameter = "timeout=";
-/// Largest answer body that is taken: larger ones would not fit a host's memory beside others.
+/// Maximum size of a response body. Larger ones would not fit into a host's memory beside others.
 static constexpr u64 max_response_bytes = 16 << 20;
-/// Bounds what a faulty peer can make this host keep.
+/// Maximum size of a response head. Limits the memory that a faulty peer can use on this host.
 static constexpr u32 max_response_head_bytes = 64 << 10;
 
 std::string_view to_string(ExchangeEnd end)
@@ -56,7 +57,7 @@
         return false;
     if (AK::BootClock::now() >= this->idle_until)
         return false;
-    // Bytes that nobody asked for, or the peer's close, make the connection useless.
+    // Unsolicited bytes or a close by the peer make the connection unusable.
     return peek(this->socket) == Readable::Nothing;
 }
 
@@ -75,10 +76,10 @@
     this->connect(connect_timeout, silence_limit);
 }
 
-void BackendConnection::connect(Duration patience, Duration silence_limit)
+void BackendConnection::connect(Duration timeout, Duration silence_limit)
 {
     auto number = this->exchange_number;
-    this->connect_timer.expires_after(patience);
+    this->connect_timer.expires_after(timeout);
     this->connect_timer.async_wait([self = shared_from_this(), number](beast::error_code error) {
         if (!error && number == self->exchange_number && self->in_exchange && !self->connected)
             self->fail(ExchangeEnd::NotConnected, asio::error::timed_out);
@@ -104,7 +105,7 @@
     this->serializer.emplace(this->request);
     beast::http::async_write(
         this->socket, *this->serializer, [self = shared_from_this(), number](beast::error_code error, size_t) {
-            // A failed write shows in the read as well, which may still hold an answer.
+            // A failed write also makes the read fail, unless the peer sent a response before.
             if (number == self->exchange_number && !error)
                 self->request_written = true;
         });
@@ -131,7 +132,7 @@
         return this->fail(is_malformed(error) ? ExchangeEnd::Malformed : ExchangeEnd::NoResponse, error);
     auto number = this->exchange_number;
     auto current = this->observer;
-    // An informational answer (100 to 199) is followed by the real one.
+    // An informational response (100 to 199) is followed by the final one.
     auto const& head = this->parser->get();
     constexpr unsigned first_final_status = 200;
     bool const is_informational = head.result_int() < first_final_status;
@@ -142,8 +143,8 @@
     this->read_body();
 }
 
-/// The idle time that the peer names in Keep-Alive, if it does.
-static std::optional<Duration> named_idle_limit(ResponseHead const& head)
+/// Returns the idle timeout that the peer advertises in Keep-Alive, if any.
+static std::optional<Duration> parse_idle_timeout(ResponseHead const& head)
 {
     std::string_view const text(head[Name::keep_alive].data(), head[Name::keep_alive].size());
     auto position = text.find(idle_limit_parameter);
@@ -160,8 +161,8 @@
 void BackendConnection::record_idle_limit(ResponseHead const& head)
 {
     auto limit = default_idle_limit;
-    if (auto named = named_idle_limit(head))
-        limit = std::min<Duration>(limit, std::max<Duration>(0s, *named - idle_limit_margin));
+    if (auto advertised = parse_idle_timeout(head))
+        limit = std::min<Duration>(limit, std::max<Duration>(0s, *advertised - idle_limit_margin));
     this->idle_until = AK::BootClock::now() + limit;
 }
 
@@ -205,7 +206,8 @@
 {
     if (this->skipping)
         return this->read_head();
-    // An answer that came before the request was all sent leaves the peer waiting for the rest of it.
+    // After a response that arrived before the whole request was sent, the peer still waits for the rest of the
+    // request.
     this->response_allows_reuse = this->request_written && this->buffer.size() == 0 && this->parser->get().keep_alive()
         && !this->parser->need_eof();
     this->finish(ExchangeEnd::Complete, {});
@@ -223,7 +225,7 @@
     this->idle_since = AK::BootClock::now();
     if (!this->response_allows_reuse)
         this->close();
-    // The observer may hold what keeps this connection alive.
+    // The observer may hold the last reference to this connection, so it is moved out of the member first.
     auto last = std::exchange(this->observer, nullptr);
     last->ended(end, reason);
 }
--- a/Libraries/LibHttp/BackendConnection.h
+++ b/Libraries/LibHttp/BackendConnection.h
@@ -18,60 +18,60 @@
 
 /// How an exchange with a backend server ended.
 enum class ExchangeEnd : u8 {
-    /// The whole answer is here.
+    /// The whole response was received.
     Complete,
-    /// The connection could not be made; no byte of the request left.
+    /// The connection could not be established. No byte of the request was sent.
     NotConnected,
-    /// The connection ended before a whole answer head was read. The request may have run.
+    /// The connection ended before a whole response head was read. The request may have run.
     NoResponse,
-    /// The answer broke off in its body.
+    /// The connection ended within the response body.
     Truncated,
-    /// What came is no HTTP answer.
+    /// The received bytes are not an HTTP response.
     Malformed,
 };
 
 std::string_view to_string(ExchangeEnd);
-/// For logs: how an exchange ended, and the reason that was given.
+/// Formats how an exchange ended and the given reason, for logs.
 std::string describe(ExchangeEnd, std::string const& reason);
 
-/// What to do with an answer whose head has arrived.
+/// What to do with a response whose head was received.
 enum class HeadAction : u8 {
     Accept,
-    /// It belongs to an earlier request on this connection; read on until the next answer.
+    /// The response belongs to an earlier request on this connection. Discard it and read the next one.
     Skip,
 };
 
-/// Called as an answer arrives. Nothing is called after `ended`, or after cancel().
+/// Callbacks for the parts of a response as they arrive. None is called after `ended` or after cancel().
 struct ExchangeObserver {
     std::function<HeadAction(ResponseHead const&)> head;
     std::function<void(std::string_view)> body;
     std::function<void(ExchangeEnd, std::string const& reason)> ended;
 };
 
-/// One connection to a backend server; one exchange at a time.
+/// A connection to a backend server that carries one exchange at a time.
 class BackendConnection : public std::enable_shared_from_this<BackendConnection> {
 public:
     BackendConnection(asio::io_context&, tcp::endpoint);
 
-    /// Sends `request`, connecting first if need be, and reports the answer to `observer`. Connecting may take
-    /// `connect_timeout`; the connection dies when the peer has acknowledged nothing for `silence_limit`. The caller
-    /// bounds the wait for the answer itself, with cancel().
+    /// Sends `request`, connecting first if necessary, and reports the response to `observer`. Connecting fails after
+    /// `connect_timeout`. The connection fails when the peer has acknowledged nothing for `silence_limit`. The response
+    /// has no timeout here; the calling code limits the wait with cancel().
     void exchange(Request request, ExchangeObserver observer, Duration connect_timeout, Duration silence_limit);
-    /// Ends the exchange and closes the connection, so that the backend server can drop the request.
+    /// Ends the exchange and closes the connection, so that the backend server can abandon the request.
     void cancel();
-    /// Whether another request may be sent on this connection: its last answer was whole, it has not been idle for
-    /// longer than the peer allows, and nothing has arrived on it since.
+    /// Whether another request may be sent on this connection: its last response was complete, it has not been idle for
+    /// longer than the peer allows, and nothing was received since.
     [[nodiscard]] bool is_reusable();
-    /// Whether it has yet to be connected.
+    /// Whether the connection is not yet established.
     [[nodiscard]] bool is_new() const { return !this->connected; }
-    /// Since the end of its last answer.
+    /// The time since the end of the last response.
     [[nodiscard]] Duration idle_time() const { return AK::BootClock::now() - this->idle_since; }
     [[nodiscard]] tcp::endpoint const& peer() const { return this->endpoint; }
 
 private:
     using Parser = beast::http::response_parser<beast::http::string_body>;
 
-    void connect(Duration patience, Duration silence_limit);
+    void connect(Duration timeout, Duration silence_limit);
     void send();
     void read_head();
     void handle_head(beast::error_code);
@@ -91,7 +91,7 @@
     Request request;
     std::optional<beast::http::serializer<true, beast::http::string_body>> serializer;
     std::optional<Parser> parser;
-    /// Shared, so that an observer that cancels the exchange outlives its own call.
+    /// Shared, so that the observer outlives its own call when that call cancels the exchange.
     std::shared_ptr<ExchangeObserver> observer;
     bool connected { false };
     bool in_exchange { false };
@@ -100,7 +100,7 @@
     bool response_allows_reuse { false };
     Instant idle_until {};
     Instant idle_since {};
-    /// Tells callbacks of an exchange that was cancelled from those of the current one.
+    /// Distinguishes callbacks of a cancelled exchange from those of the current one.
     u64 exchange_number { 0 };
 };
 
--- a/Libraries/LibHttp/BoostJson.cpp
+++ b/Libraries/LibHttp/BoostJson.cpp
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Boost.JSON as part of this project's own build: Debian's headers allow it, and no library has to be linked.
+// Compiles Boost.JSON from its headers, which Debian ships, so that no library has to be linked.
 #include <boost/json/src.hpp>
--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -16,13 +16,14 @@
 
 using HttpError = beast::http::error;
 
-/// A caller whose host has acknowledged nothing for this long is cut off or has no power.
+/// A caller whose host has acknowledged nothing for this long is unreachable or has lost power.
 static constexpr Duration caller_silence_limit = 10s;
-/// How often the end of a connection is looked for that has unread bytes in front of it. Work for a caller that has
-/// left must end within half a second.
+/// How often a connection with unread bytes is checked for a close by the caller. Work for a disconnected caller must
+/// end within half a second.
 static constexpr Duration disconnect_check_period = 200ms;
-/// Callers are told to use a kept connection again no later than this before it is closed as idle, so that no request
-/// crosses the close. Longer than the way of a request from another region (12 ms) and its repeats on a lossy link.
+/// Subtracted from the idle timeout that is advertised to callers, so that no request is sent while this side closes
+/// the connection. Longer than the delay of a request from another region (12 ms) and its retransmissions on a lossy
+/// link.
 static constexpr Duration keep_alive_margin = 1s;
 
 CallerConnection::CallerConnection(tcp::socket socket, std::shared_ptr<CallerContext> context)
@@ -46,15 +47,15 @@
     this->phase_began = AK::BootClock::now();
 }
 
-void CallerConnection::set_timer(Duration patience, void (CallerConnection::*overdue)())
+void CallerConnection::set_timer(Duration timeout, void (CallerConnection::*on_expiry)())
 {
     auto const set_in = this->phase;
-    this->timer.expires_after(patience);
-    this->timer.async_wait([self = shared_from_this(), set_in, overdue](beast::error_code error) {
-        // A wait that was over already when the timer was cancelled or set anew still ends without an error.
+    this->timer.expires_after(timeout);
+    this->timer.async_wait([self = shared_from_this(), set_in, on_expiry](beast::error_code error) {
+        // A wait that had already expired when the timer was cancelled or reset still completes without an error.
         bool const is_current = self->phase == set_in && AK::BootClock::now() >= self->timer.expiry();
         if (!error && is_current)
-            (self.get()->*overdue)();
+            (self.get()->*on_expiry)();
     });
 }
 
@@ -83,7 +84,7 @@
 {
     if (this->phase != ConnectionPhase::BetweenRequests && this->phase != ConnectionPhase::Responding)
         return;
-    // A wait may also end by an event of a closed socket whose place in the reactor this one has taken.
+    // A wait may also complete through a queued event of a closed socket whose reactor entry this socket reuses.
     auto readable = peek(this->socket);
     if (readable == Readable::Nothing)
         return this->watch_socket();
@@ -91,7 +92,7 @@
         return this->close(CloseReason::ClosedByCaller);
     if (this->phase == ConnectionPhase::BetweenRequests)
         return this->read_head();
-    // The bytes are of a further request, which is read later. They hide the connection's end from the wait.
+    // The bytes belong to the next request, which is read later. A wait for readability cannot see a close behind them.
     this->set_timer(disconnect_check_period, &CallerConnection::check_for_disconnect);
 }
 
@@ -104,7 +105,7 @@
 
 void CallerConnection::handle_idle_timeout()
 {
-    // Bytes that came in time are read in a later turn of the loop.
+    // Bytes that arrived in time are read in a later event loop iteration.
     if (peek(this->socket) != Readable::Bytes)
         this->close(CloseReason::Idle);
 }
@@ -138,7 +139,7 @@
 
 bool CallerConnection::has_ambiguous_framing() const
 {
-    // A body whose end two parsers could see in different places is a way to hide a request in another one.
+    // If two parsers can disagree about where a body ends, one request can be smuggled inside another.
     auto const& head = this->parser->get();
     if (head.count(Name::content_length) > 1 || head.count(Name::transfer_encoding) > 1)
         return true;
@@ -149,7 +150,7 @@
 
 void CallerConnection::handle_head(beast::error_code error)
 {
-    // The caller may have been told by now that its head came too late.
+    // The request may already have been rejected because its head arrived too late.
     if (this->phase != ConnectionPhase::ReadingHead)
         return;
     if (error)
@@ -169,8 +170,8 @@
 
 void CallerConnection::handle_body(beast::error_code error)
 {
-    // A request whose caller has been told that it came too late, or whose connection is closed, must not be run:
-    // nobody would get its answer.
+    // A request must not run after it was rejected as too late or after its connection was closed: nobody would receive
+    // its response.
     if (this->phase != ConnectionPhase::ReadingBody)
         return;
     if (error)
@@ -210,10 +211,10 @@
     ++this->requests_accepted;
     this->keep_alive = this->parser->get().keep_alive();
     auto received = AK::BootClock::now();
-    auto taken = std::make_shared<Exchange>(shared_from_this(), this->parser->release(), received);
-    this->exchange = taken;
+    auto accepted = std::make_shared<Exchange>(shared_from_this(), this->parser->release(), received);
+    this->exchange = accepted;
     this->watch_socket();
-    this->context->on_request(std::move(taken));
+    this->context->on_request(std::move(accepted));
 }
 
 void CallerConnection::advertise_keep_alive(ResponseHead& head)
@@ -223,10 +224,10 @@
     head.version(http_1_1);
     if (!this->keep_alive)
         return head.set(Name::connection, "close");
-    // The configuration may change before the answer has ended.
+    // Stored because the configuration may change before the response is complete.
     this->advertised_idle_timeout = this->context->limits.idle_timeout;
-    auto const promised = this->advertised_idle_timeout - keep_alive_margin;
-    auto const seconds = std::chrono::duration_cast<std::chrono::seconds>(promised).count();
+    auto const advertised = this->advertised_idle_timeout - keep_alive_margin;
+    auto const seconds = std::chrono::duration_cast<std::chrono::seconds>(advertised).count();
     if (seconds > 0)
         head.set(Name::keep_alive, "timeout=" + std::to_string(seconds));
 }
@@ -311,14 +312,14 @@
 {
     if (!this->is_open())
         return;
-    ConnectionClose const told { reason, this->phase, this->requests_accepted,
+    ConnectionClose const closed { reason, this->phase, this->requests_accepted,
         AK::BootClock::now() - this->phase_began };
     this->enter(ConnectionPhase::Closed);
     this->timer.cancel();
     boost::system::error_code ignored;
     this->socket.close(ignored);
     if (this->context->on_closed)
-        this->context->on_closed(told);
+        this->context->on_closed(closed);
     if (auto interrupted = this->exchange.lock())
         interrupted->connection_lost();
 }
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -15,41 +15,42 @@
 
 namespace Http {
 
-/// Bounds on what a caller may send and on how long it may take.
+/// Limits on the size of a caller's requests and on the time that it takes to send them.
 struct CallerLimits {
-    /// Of a request's line and fields together; beyond it the answer is 431.
+    /// Maximum size of a request line and its fields together. Larger heads get status 431.
     u32 header_bytes { 16'384 };
-    /// Beyond it the answer is 413.
+    /// Maximum size of a request body. Larger bodies get status 413.
     u64 body_bytes { 4'194'304 };
-    /// For the rest of a head that has begun to arrive.
+    /// Time limit for the rest of a head after its first byte.
     Duration header_timeout { 3s };
-    /// For the next request on an open connection, and for a body.
+    /// Time limit for the next request on an open connection, and for a body.
     Duration idle_timeout { 15s };
 };
 
-/// What a caller's connection needs of the server that accepted it.
+/// State that all caller connections of one server share.
 struct CallerContext {
     CallerLimits limits {};
-    /// While set, every answer closes its connection.
+    /// While set, every response closes its connection.
     bool closing { false };
-    /// Requests that have begun to arrive and not yet been answered to their end.
+    /// Number of requests that have begun to arrive and whose response is not complete.
     size_t open_requests { 0 };
-    /// Bytes that may wait for one caller, beside one body of the largest size, before it is cut off.
+    /// Maximum number of unsent bytes for one caller, in addition to one body of maximum size. The connection is closed
+    /// when there are more.
     static constexpr size_t max_pending_bytes = 1 << 20;
     std::function<void(std::shared_ptr<Exchange>)> on_request {};
-    /// Bytes that were no acceptable request; the text is what the caller was told.
+    /// Called for input that is not an acceptable request, with the message that was sent to the caller.
     std::function<void(std::string const& reason)> on_rejected_request {};
     std::function<void(ConnectionClose const&)> on_closed {};
 };
 
-/// One connection of a caller: reads requests one after another and writes their answers.
+/// A connection from a caller. Reads requests one after another and writes their responses.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
 public:
     CallerConnection(tcp::socket socket, std::shared_ptr<CallerContext> context);
     ~CallerConnection();
 
     void start() { this->await_request(); }
-    /// Closes at once if no request is under way and none waits in the socket.
+    /// Closes the connection immediately if no request is in progress and none is waiting in the socket.
     void close_if_idle(CloseReason);
     [[nodiscard]] bool is_open() const { return this->phase != ConnectionPhase::Closed; }
 
@@ -70,13 +71,13 @@
     [[nodiscard]] bool has_ambiguous_framing() const;
     void deliver();
 
-    /// Calls `overdue` after `patience`, unless the phase has changed or the timer has been set anew by then.
-    void set_timer(Duration patience, void (CallerConnection::*overdue)());
+    /// Calls `on_expiry` after `timeout`, unless the phase has changed or the timer has been reset by then.
+    void set_timer(Duration timeout, void (CallerConnection::*on_expiry)());
     void handle_idle_timeout();
     void handle_head_timeout();
     void handle_body_timeout();
 
-    /// Says in an answer's head whether the connection can be used again, and until when.
+    /// Sets the fields of a response head that state whether, and for how long, the connection may be reused.
     void advertise_keep_alive(ResponseHead&);
     void send_response(Response);
     void send_stream_head(ResponseHead);
@@ -86,14 +87,14 @@
     void write_next();
     void written(beast::error_code);
     void request_finished();
-    /// The one way in which a connection ends. Whoever works on its request is told.
+    /// Every close of a connection goes through here. Notifies the exchange of the current request.
     void close(CloseReason);
     void enter(ConnectionPhase);
 
     tcp::socket socket;
     AK::Timer timer;
     std::shared_ptr<CallerContext> context;
-    /// As the caller was told with the last answer.
+    /// The idle timeout behind the Keep-Alive field of the last response.
     Duration advertised_idle_timeout;
     beast::flat_buffer buffer;
     std::optional<Parser> parser;
--- a/Libraries/LibHttp/CallerServer.cpp
+++ b/Libraries/LibHttp/CallerServer.cpp
@@ -9,7 +9,7 @@
 
 namespace Http {
 
-/// Pause before the next try when a connection cannot be accepted, as when descriptors have run out.
+/// Delay before the next attempt when a connection cannot be accepted, for example when file descriptors run out.
 static constexpr Duration accept_retry_delay = 20ms;
 
 CallerServer::CallerServer(asio::io_context& loop, tcp::endpoint endpoint, std::shared_ptr<CallerContext> context)
@@ -23,7 +23,7 @@
 void CallerServer::accept()
 {
     this->acceptor.async_accept([this](beast::error_code error, tcp::socket socket) {
-        // A connection that was accepted before the acceptor was closed has its turn only now.
+        // This handler may run after the acceptor was closed, for a connection that was accepted before.
         if (!error)
             this->serve(std::move(socket));
         if (!this->is_accepting())
@@ -36,7 +36,7 @@
 
 void CallerServer::accept_later(beast::error_code error)
 {
-    // A new caller has a request; a connection that rests may never have another.
+    // A new caller has a request to send, but an idle connection may never carry another.
     bool const is_out_of_descriptors = error == boost::system::errc::too_many_files_open
         || error == boost::system::errc::too_many_files_open_in_system;
     if (is_out_of_descriptors)
@@ -62,7 +62,7 @@
         return;
     boost::system::error_code error;
     this->acceptor.non_blocking(true, error);
-    // What waits to be accepted would be reset by the close, with its requests.
+    // Closing the acceptor would reset connections that are still in its backlog, together with their requests.
     while (!error) {
         auto socket = this->acceptor.accept(error);
         if (!error)
--- a/Libraries/LibHttp/CallerServer.h
+++ b/Libraries/LibHttp/CallerServer.h
@@ -12,23 +12,24 @@
 
 namespace Http {
 
-/// Accepts callers' connections on one address.
+/// Accepts connections of callers on one address.
 class CallerServer {
 public:
     CallerServer(asio::io_context&, tcp::endpoint, std::shared_ptr<CallerContext>);
 
-    /// Takes no more connections but those that callers have opened by now. Open ones are served on.
+    /// Accepts the connections that callers have already opened, and no more. Open connections are still served.
     void stop_accepting();
     [[nodiscard]] bool is_accepting() const { return this->acceptor.is_open(); }
-    /// Ends connections that wait for no answer. A request that has come, read or not, keeps its connection open.
+    /// Closes connections without a request in progress. A request that has arrived, even unread, keeps its connection
+    /// open.
     void close_idle_connections(CloseReason);
-    /// Connections that are open. Once accepting has stopped, and the loop has had a turn since, 0 means that nobody
-    /// waits for an answer.
+    /// Number of open connections. After stop_accepting() and one more event loop iteration, 0 means that no caller is
+    /// waiting for a response.
     [[nodiscard]] size_t open_connections() const;
 
 private:
     void accept();
-    /// Tries again soon; when descriptors have run out, ends idle connections first.
+    /// Accepts again after a delay. Closes idle connections first when file descriptors have run out.
     void accept_later(beast::error_code);
     void serve(tcp::socket);
 
--- a/Libraries/LibHttp/ConnectionPhase.h
+++ b/Libraries/LibHttp/ConnectionPhase.h
@@ -11,52 +11,52 @@
 
 namespace Http {
 
-/// How far a caller's connection is. Everything that may read from it, close it or hand a request on asks for the phase
-/// when its turn comes, not when it was begun: another completion may have had its turn in between.
+/// State of a caller's connection. Completion handlers that read from it, close it or forward a request check the phase
+/// when they run, not when they were started: another handler may have run in between.
 enum class ConnectionPhase : u8 {
-    /// No byte of the next request has been read. Only here may this side close without an answer.
+    /// No byte of the next request has been read. Only in this phase may this side close without a response.
     BetweenRequests,
     ReadingHead,
     ReadingBody,
-    /// A request has been read or refused, and its answer is not complete.
+    /// A request has been read or rejected, and its response is not complete.
     Responding,
     Closed,
 };
 
 /// Why a caller's connection was closed.
 enum class CloseReason : u8 {
-    /// The answer is complete and said that the connection ends with it.
+    /// The response is complete and announced that the connection would be closed after it.
     ResponseSent,
-    /// The caller has ended it.
+    /// The caller closed the connection.
     ClosedByCaller,
-    /// Nothing came for `idle_timeout`.
+    /// Nothing was received for `idle_timeout`.
     Idle,
     /// The process is stopping.
     PlannedStop,
-    /// No further connection could be accepted.
+    /// File descriptors ran out, so that no further connection could be accepted.
     CapacityNeeded,
-    /// Bytes for the caller could not be sent.
+    /// Writing to the caller failed.
     WriteFailed,
-    /// More bytes wait for the caller than may.
+    /// More unsent bytes were queued for the caller than the limit allows.
     TooManyPendingBytes,
-    /// The request's own work ended it, so that its answer does not look complete.
+    /// The handler of the request aborted it, so that the response does not look complete.
     Aborted,
 };
 
 std::string_view to_string(ConnectionPhase);
 std::string_view to_string(CloseReason);
 
-/// A close, for whoever looks for a request that got no answer.
+/// Details of a close, logged to trace requests that got no response.
 struct ConnectionClose {
     CloseReason reason;
     ConnectionPhase phase;
-    /// Requests that had been taken from this connection.
+    /// Number of requests that were accepted on this connection.
     u64 requests_accepted;
-    /// Since the phase began.
+    /// The time since the phase began.
     Duration time_in_phase;
 };
 
-/// Whether a request has begun to arrive and is not answered to its end.
+/// Whether a request has begun to arrive and its response is not complete.
 bool has_request(ConnectionPhase);
 
 }
--- a/Libraries/LibHttp/ConnectionPool.cpp
+++ b/Libraries/LibHttp/ConnectionPool.cpp
@@ -8,7 +8,7 @@
 
 namespace Http {
 
-/// Kept connections for one address. More would only be opened in a burst and then lie idle.
+/// Maximum number of idle connections for one address. More would only be opened in a burst and then stay unused.
 static constexpr size_t max_idle_per_endpoint = 8;
 
 std::shared_ptr<BackendConnection> ConnectionPool::acquire(tcp::endpoint const& endpoint)
@@ -31,17 +31,17 @@
 
 void ConnectionPool::release(std::shared_ptr<BackendConnection> connection)
 {
-    auto& kept = this->idle[connection->peer()];
-    if (kept.size() < max_idle_per_endpoint && connection->is_reusable())
-        kept.push_back(std::move(connection));
+    auto& connections = this->idle[connection->peer()];
+    if (connections.size() < max_idle_per_endpoint && connection->is_reusable())
+        connections.push_back(std::move(connection));
     else
         connection->cancel();
 }
 
 void ConnectionPool::drop_unusable()
 {
-    for (auto& [endpoint, kept] : this->idle) {
-        std::erase_if(kept, [](auto const& connection) {
+    for (auto& [endpoint, connections] : this->idle) {
+        std::erase_if(connections, [](auto const& connection) {
             if (connection->is_reusable())
                 return false;
             connection->cancel();
--- a/Libraries/LibHttp/ConnectionPool.h
+++ b/Libraries/LibHttp/ConnectionPool.h
@@ -12,7 +12,7 @@
 
 namespace Http {
 
-/// Kept connections to backend servers, by address.
+/// Persistent connections to backend servers, by address.
 class ConnectionPool {
 public:
     explicit ConnectionPool(asio::io_context& loop)
@@ -20,13 +20,13 @@
     {
     }
 
-    /// A kept connection if one is fit for use, else a new one that connects with its first exchange.
+    /// Returns an idle connection if one is reusable, otherwise a new one that connects with its first exchange.
     std::shared_ptr<BackendConnection> acquire(tcp::endpoint const&);
-    /// A connection of its own for one exchange, so that closing it ends the work of that exchange alone.
+    /// Returns a new connection for a single exchange, so that closing it cancels only that exchange.
     std::shared_ptr<BackendConnection> make_new(tcp::endpoint const&);
-    /// Keeps the connection for the next request if that is possible.
+    /// Returns the connection to the pool if it is reusable, and closes it otherwise.
     void release(std::shared_ptr<BackendConnection>);
-    /// Drops kept connections that have become useless.
+    /// Closes idle connections that are no longer reusable.
     void drop_unusable();
 
 private:
--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -11,7 +11,7 @@
 
 Exchange::Exchange(std::shared_ptr<CallerConnection> connection, Request request, Instant received)
     : connection(std::move(connection))
-    , taken(std::move(request))
+    , received_request(std::move(request))
     , received(received)
 {
 }
@@ -39,7 +39,7 @@
 
 void Exchange::send_chunk(std::string_view piece)
 {
-    // An empty chunk would end the body.
+    // In chunked encoding, an empty chunk marks the end of the body.
     if (this->connection && !piece.empty())
         this->connection->send_chunk(piece);
 }
--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -14,29 +14,29 @@
 
 class CallerConnection;
 
-/// One request of a caller and the answer it gets. Calls after the answer is complete, or after the caller has left,
-/// do nothing.
+/// A caller's request and its response. Calls after the response is complete, or after the caller has disconnected, do
+/// nothing.
 class Exchange {
 public:
     Exchange(std::shared_ptr<CallerConnection> connection, Request request, Instant received);
 
-    [[nodiscard]] Request const& request() const { return this->taken; }
+    [[nodiscard]] Request const& request() const { return this->received_request; }
     [[nodiscard]] Instant received_at() const { return this->received; }
-    /// Whether the caller still waits for (the rest of) an answer.
+    /// Whether the caller is still waiting for the response or the rest of it.
     [[nodiscard]] bool is_open() const { return this->connection != nullptr; }
     [[nodiscard]] bool is_streaming() const { return this->streaming; }
 
-    /// Called once if the caller leaves before its answer is complete.
+    /// Sets a handler that is called once if the caller disconnects before its response is complete.
     void on_caller_disconnected(std::function<void()> observer) { this->caller_disconnected = std::move(observer); }
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     void respond(Response);
-    /// Starts an answer whose body comes in pieces of unknown number.
+    /// Starts a response with a chunked body.
     void begin_stream(ResponseHead const&);
     void send_chunk(std::string_view);
-    /// Ends the stream so that the answer is complete.
+    /// Ends the chunked body and completes the response.
     void end_stream();
-    /// Closes the connection, so that the answer cannot look complete.
+    /// Closes the connection, so that the response does not look complete.
     void abort();
 
 private:
@@ -45,7 +45,7 @@
     std::shared_ptr<CallerConnection> release_connection();
 
     std::shared_ptr<CallerConnection> connection;
-    Request taken;
+    Request received_request;
     Instant received;
     bool streaming { false };
     std::function<void()> caller_disconnected;
--- a/Libraries/LibHttp/Types.cpp
+++ b/Libraries/LibHttp/Types.cpp
@@ -15,10 +15,10 @@
 
 namespace Http {
 
-/// Probes of a silent connection before it dies. With the silence before the first one and a pause as long before each
-/// further one, it dies about when the patience is over.
+/// Number of keep-alive probes before a silent connection fails. The time before the first probe and the time after
+/// each probe are equal parts of the timeout, so that the connection fails about when the timeout expires.
 static constexpr int keep_alive_probes = 2;
-/// Equal parts of the patience: the silence before the first probe, and one for each probe.
+/// Equal parts of the timeout: one before the first probe and one for each probe.
 static constexpr unsigned keep_alive_parts = keep_alive_probes + 1;
 
 std::optional<tcp::endpoint> parse_endpoint(std::string const& address)
@@ -48,16 +48,16 @@
         fields.erase(name);
 }
 
-/// A failure leaves the system's default in place, which only makes a dead peer noticed later.
+/// Ignores failures: with the system's default, a dead peer is only detected later.
 static void set_option(tcp::socket& socket, int level, int name, int value)
 {
     ::setsockopt(socket.native_handle(), level, name, &value, sizeof value);
 }
 
-void set_peer_timeout(tcp::socket& socket, Duration patience)
+void set_peer_timeout(tcp::socket& socket, Duration timeout)
 {
-    auto const milliseconds = static_cast<unsigned>(AK::to_milliseconds(patience));
-    // The kernel takes whole seconds here.
+    auto const milliseconds = static_cast<unsigned>(AK::to_milliseconds(timeout));
+    // The kernel accepts only whole seconds for these options.
     auto const seconds = std::max(1, static_cast<int>(milliseconds / (1000 * keep_alive_parts)));
     set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(milliseconds));
     set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
--- a/Libraries/LibHttp/Types.h
+++ b/Libraries/LibHttp/Types.h
@@ -15,8 +15,8 @@
 #include <optional>
 #include <string>
 
-/// HTTP/1.1 on the one loop of a process, for both sides. Boost.Beast parses and serialises; see docs/PLATFORM.md for
-/// why it is used in place of POCO's server here.
+/// HTTP/1.1 client and server on the event loop of a process. Boost.Beast parses and serialises messages;
+/// docs/PLATFORM.md explains why it is used here instead of POCO's server.
 namespace Http {
 
 namespace asio = boost::asio;
@@ -31,34 +31,35 @@
 using Verb = beast::http::verb;
 using Name = beast::http::field;
 
-/// HTTP/1.1, as Beast writes versions.
+/// HTTP/1.1 as Beast represents versions.
 inline constexpr unsigned http_1_1 = 11;
 
-/// Parses "ip:port"; empty when it is not an address.
+/// Parses "ip:port". Returns nothing when the text is not an address.
 std::optional<tcp::endpoint> parse_endpoint(std::string const& address);
 
-/// Removes the fields that concern one connection only (RFC 9110, section 7.6.1), together with the body's framing.
+/// Removes connection-specific fields (RFC 9110, section 7.6.1) and the fields that frame the body.
 void remove_connection_fields(Fields&);
 
-/// The connection dies when a peer has acknowledged nothing for `patience`; without it a cut link goes unnoticed.
-void set_peer_timeout(tcp::socket&, Duration patience);
+/// Makes the connection fail when the peer has acknowledged nothing for `timeout`. Without it, a broken link would go
+/// unnoticed.
+void set_peer_timeout(tcp::socket&, Duration timeout);
 
-/// What can be read from a socket at once.
+/// What can be read from a socket without waiting.
 enum class Readable : u8 {
-    /// Nothing has arrived; the connection is open.
+    /// Nothing was received, and the connection is open.
     Nothing,
     Bytes,
-    /// The peer has closed or reset the connection, and all that it sent before has been read.
+    /// The peer has closed or reset the connection, and everything that it sent before has been read.
     End,
 };
 
-/// Looks without waiting and takes no bytes out of the socket.
+/// Checks the socket without waiting and without consuming bytes.
 Readable peek(tcp::socket&);
 
-/// Whether the peer has ended its side of the connection, also with unread bytes in front of that.
+/// Whether the peer has closed its side of the connection, even if unread bytes precede the close.
 bool peer_has_closed(tcp::socket&);
 
-/// Whether reading a message failed by its content, not by the end of its connection.
+/// Whether reading a message failed because of its content, not because the connection ended.
 bool is_malformed(beast::error_code);
 
 }
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -139,19 +139,19 @@
 guard "what waits to be accepted is served" TestLibHttp \
     "Scenario: a server that has stopped accepting serves those that came before" \
     Libraries/LibHttp/CallerServer.cpp "while (!error) {" "while (false) {"
-guard "a wait is looked at" TestLibHttp "Scenario: what has its turn after a connection's close does not open it again" \
+guard "a wait is looked at" TestLibHttp "Scenario: a handler that runs after the close of a connection does not reopen it" \
     Libraries/LibHttp/CallerConnection.cpp "if (readable == Readable::Nothing)
         return this->watch_socket();" ""
 guard "a closed connection stays closed" TestLibHttp \
-    "Scenario: what has its turn after a connection's close does not open it again" \
+    "Scenario: a handler that runs after the close of a connection does not reopen it" \
     Libraries/LibHttp/CallerConnection.cpp "this->writing = false;
     if (!this->is_open())
         return;" "this->writing = false;"
 guard "a refused head is not taken" TestLibHttp \
-    "Scenario: a request whose time is over is refused and not taken, or taken and answered" \
+    "Scenario: a request that times out is rejected and not accepted, or accepted and gets a response" \
     Libraries/LibHttp/CallerConnection.cpp "if (this->phase != ConnectionPhase::ReadingHead)
         return;" ""
-guard "a body has its time" TestLibHttp "Scenario: a request whose time is over is refused and not taken, or taken and answered" \
+guard "a body has its time" TestLibHttp "Scenario: a request that times out is rejected and not accepted, or accepted and gets a response" \
     Libraries/LibHttp/CallerConnection.cpp "this->set_timer(this->context->limits.idle_timeout, &CallerConnection::handle_body_timeout);" ""
 guard "an end behind bytes is noticed" TestLibHttp "Scenario: a caller that leaves is noticed" \
     Libraries/LibHttp/CallerConnection.cpp "if (peer_has_closed(this->socket))" "if (false)"
--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -14,13 +14,13 @@
 
 namespace Http::Test {
 
-/// As many as were lost together when it was seen.
+/// The number of requests that were lost together in the observed failure.
 inline constexpr size_t caller_count = 15;
-/// Far longer than a busy machine lets a test wait for its turn.
+/// Much longer than a busy machine delays a test.
 inline constexpr Duration short_idle_timeout = 200ms;
 
-/// A server and callers with a kept connection each, on one loop. Requests are noted when they are taken and answered
-/// when the test says so.
+/// A server and callers with one persistent connection each, on one event loop. Requests are counted when they are
+/// accepted, and responses are sent when the test calls for them.
 struct CallerFixture {
     CallerFixture()
     {
@@ -41,7 +41,7 @@
         ::Test::run_until(this->loop, [this] { return this->waiting.size() == caller_count; });
         this->respond_to_all();
         ::Test::run_until(this->loop, [this] { return this->responses() == caller_count; });
-        // What is left to do here after an answer has arrived there.
+        // Runs the server's handlers that are still queued after the callers have received their responses.
         this->settle();
         this->accepted_count = 0;
     }
@@ -64,8 +64,8 @@
         this->waiting.clear();
     }
 
-    /// Serves until every caller has its further answer or has lost its connection, and what was queued by then is
-    /// done.
+    /// Serves until every caller has received its second response or lost its connection, then runs the handlers that
+    /// are queued.
     void serve_to_the_end()
     {
         ::Test::run_until(this->loop, [this] {
@@ -76,7 +76,7 @@
         this->loop.poll();
     }
 
-    /// A further caller that has had one answer.
+    /// Connects another caller and serves one request of it.
     PersistentCaller& connect_caller()
     {
         auto& caller = this->callers.emplace_back(this->loop, this->endpoint);
@@ -89,14 +89,14 @@
         return caller;
     }
 
-    /// Does all that is ready to be done.
+    /// Runs the event loop until no handler is ready.
     void settle()
     {
         while (this->loop.poll() > 0)
             this->loop.restart();
     }
 
-    /// Over all callers and requests.
+    /// Number of responses received by all callers.
     size_t responses()
     {
         size_t count = 0;
@@ -105,7 +105,7 @@
         return count;
     }
 
-    /// To requests sent after connect_callers().
+    /// Number of responses to requests sent after connect_callers().
     size_t further_responses() { return this->responses() - caller_count; }
 
     asio::io_context loop;
--- a/Tests/LibHttp/PersistentCaller.h
+++ b/Tests/LibHttp/PersistentCaller.h
@@ -12,8 +12,8 @@
 
 namespace Http::Test {
 
-/// A caller that keeps one connection on loopback. It writes bytes that are given ahead, at once, so that they wait in
-/// the other side's socket until its loop runs.
+/// A caller with one persistent connection on loopback. It writes immediately, so that the bytes wait in the server's
+/// socket until the event loop runs.
 class PersistentCaller {
 public:
     inline static std::string const get_request = "GET /ask HTTP/1.1\r\nHost: example\r\n\r\n";
@@ -32,7 +32,7 @@
         this->socket.non_blocking(true);
     }
 
-    /// What a socket's buffer takes without waiting: some hundred kilobytes on loopback.
+    /// Writes without waiting, so `bytes` must fit into the socket's buffers: a few hundred kilobytes on loopback.
     void send(std::string const& bytes)
     {
         boost::system::error_code error;
@@ -40,7 +40,7 @@
         REQUIRE((error || count == bytes.size()));
     }
 
-    /// Whole answers so far.
+    /// Number of responses received so far.
     [[nodiscard]] size_t responses()
     {
         this->receive();
@@ -51,7 +51,7 @@
         return count;
     }
 
-    /// Whether the other side has closed the connection, orderly or not.
+    /// Whether the server has closed or reset the connection.
     [[nodiscard]] bool is_closed()
     {
         this->receive();
--- a/Tests/LibHttp/ScriptedPeer.h
+++ b/Tests/LibHttp/ScriptedPeer.h
@@ -15,7 +15,7 @@
 
 namespace Http::Test {
 
-/// A peer on loopback that answers each request with bytes written ahead, on the test's own loop.
+/// A peer on loopback that responds to each request with preset bytes, on the event loop of the test.
 class ScriptedPeer {
 public:
     enum class Then : u8 {
@@ -33,7 +33,7 @@
     [[nodiscard]] tcp::endpoint endpoint() const { return this->local; }
     void script(std::string bytes, Then then = Then::KeepOpen)
     {
-        this->answer = std::move(bytes);
+        this->response = std::move(bytes);
         this->then = then;
     }
     void close_connections() { this->connections.clear(); }
@@ -42,7 +42,7 @@
         this->acceptor.close();
         this->connections.clear();
     }
-    /// All bytes that have come, over all connections.
+    /// All bytes received, over all connections.
     std::string received;
 
 private:
@@ -73,7 +73,7 @@
                 if (error)
                     return;
                 this->received.append(connection->buffer.data(), count);
-                asio::write(connection->socket, asio::buffer(this->answer), error);
+                asio::write(connection->socket, asio::buffer(this->response), error);
                 this->finish(*connection);
                 if (connection->socket.is_open())
                     this->serve(connection);
@@ -91,12 +91,12 @@
 
     tcp::acceptor acceptor;
     tcp::endpoint local { acceptor.local_endpoint() };
-    std::string answer;
+    std::string response;
     Then then { Then::KeepOpen };
     std::list<std::shared_ptr<Connection>> connections;
 };
 
-/// What one exchange brought.
+/// Records the response of one exchange and how the exchange ended.
 struct CollectedResponse {
     ExchangeObserver observer()
     {
--- a/Tests/LibHttp/TestBackendConnection.cpp
+++ b/Tests/LibHttp/TestBackendConnection.cpp
@@ -29,87 +29,87 @@
     Http::ConnectionPool pool(loop);
     CollectedResponse collected;
 
-    auto ask = [&](std::shared_ptr<Http::BackendConnection> const& connection) {
+    auto run_exchange = [&](std::shared_ptr<Http::BackendConnection> const& connection) {
         connection->exchange(post(), collected.observer(), 1s, 5s);
         ::Test::run_until(loop, [&] { return collected.end.has_value(); });
     };
 
-    GIVEN("an answer with a length")
+    GIVEN("a response with a length")
     {
         peer.script("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
         auto connection = pool.acquire(peer.endpoint());
-        ask(connection);
+        run_exchange(connection);
         CHECK(collected.end == ExchangeEnd::Complete);
         CHECK(collected.body == "hello");
-        THEN("the connection can be used again") { CHECK(connection->is_reusable()); }
+        THEN("the connection is reusable") { CHECK(connection->is_reusable()); }
     }
-    GIVEN("bytes behind a whole answer")
+    GIVEN("bytes after a complete response")
     {
         peer.script("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd");
         auto connection = pool.acquire(peer.endpoint());
-        ask(connection);
+        run_exchange(connection);
         CHECK(collected.end == ExchangeEnd::Complete);
         CHECK(collected.body == "hello");
-        THEN("the connection is not used again") { CHECK_FALSE(connection->is_reusable()); }
+        THEN("the connection is not reusable") { CHECK_FALSE(connection->is_reusable()); }
     }
-    GIVEN("an answer to an earlier request in front of its own")
+    GIVEN("a response to an earlier request before its own")
     {
         peer.script("HTTP/1.1 200 OK\r\nX-For: earlier\r\nContent-Length: 3\r\n\r\nodd"
                     "HTTP/1.1 200 OK\r\nX-For: this\r\nContent-Length: 5\r\n\r\nhello");
         collected.skip_unless = "this";
-        ask(pool.acquire(peer.endpoint()));
+        run_exchange(pool.acquire(peer.endpoint()));
         CHECK(collected.end == ExchangeEnd::Complete);
         CHECK(collected.body == "hello");
     }
-    GIVEN("an informational answer in front of the real one")
+    GIVEN("an informational response before the final one")
     {
         peer.script("HTTP/1.1 103 Early Hints\r\nX-For: this\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
-        ask(pool.acquire(peer.endpoint()));
+        run_exchange(pool.acquire(peer.endpoint()));
         CHECK(collected.end == ExchangeEnd::Complete);
         CHECK(collected.status == 200);
         CHECK(collected.body == "hello");
     }
-    GIVEN("an answer without a length that ends with its connection")
+    GIVEN("a response without a length that ends when the connection closes")
     {
         peer.script("HTTP/1.1 200 OK\r\n\r\nhello", ScriptedPeer::Then::Close);
         auto connection = pool.acquire(peer.endpoint());
-        ask(connection);
+        run_exchange(connection);
         CHECK(collected.end == ExchangeEnd::Complete);
         CHECK(collected.body == "hello");
         CHECK_FALSE(connection->is_reusable());
     }
-    GIVEN("an answer without a length that is reset")
+    GIVEN("a response without a length whose connection is reset")
     {
         peer.script("HTTP/1.1 200 OK\r\n\r\nhello", ScriptedPeer::Then::Reset);
-        ask(pool.acquire(peer.endpoint()));
+        run_exchange(pool.acquire(peer.endpoint()));
         CHECK(collected.end != ExchangeEnd::Complete);
     }
-    GIVEN("an answer that breaks off")
+    GIVEN("a truncated response")
     {
         peer.script("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello", ScriptedPeer::Then::Close);
-        ask(pool.acquire(peer.endpoint()));
+        run_exchange(pool.acquire(peer.endpoint()));
         CHECK(collected.end == ExchangeEnd::Truncated);
     }
-    GIVEN("bytes that are no answer")
+    GIVEN("bytes that are not an HTTP response")
     {
         peer.script("no answer at all\r\n\r\n");
-        ask(pool.acquire(peer.endpoint()));
+        run_exchange(pool.acquire(peer.endpoint()));
         CHECK(collected.end == ExchangeEnd::Malformed);
     }
-    GIVEN("a close without a word")
+    GIVEN("a close without a response")
     {
         peer.script("", ScriptedPeer::Then::Close);
-        ask(pool.acquire(peer.endpoint()));
+        run_exchange(pool.acquire(peer.endpoint()));
         CHECK(collected.end == ExchangeEnd::NoResponse);
     }
-    GIVEN("nobody at the address")
+    GIVEN("no listener at the address")
     {
         auto endpoint = peer.endpoint();
         peer.stop();
-        ask(pool.acquire(endpoint));
+        run_exchange(pool.acquire(endpoint));
         CHECK(collected.end == ExchangeEnd::NotConnected);
     }
-    GIVEN("an observer that cancels in the middle of its own call and held the last reference to itself")
+    GIVEN("an observer that cancels the exchange during its own call and holds the last reference to itself")
     {
         peer.script("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello");
         auto connection = pool.acquire(peer.endpoint());
@@ -119,14 +119,14 @@
         Http::ExchangeObserver observer {
             [](Http::ResponseHead const&) { return HeadAction::Accept; },
             [owner, connection, &watch, &was_alive_after_cancel](std::string_view) {
-                // Taken out of the closure first, which must not be looked at if it has gone.
+                // Copied out of the closure first, which must not be accessed once it is destroyed.
                 auto& still_watched = watch;
                 auto& verdict = was_alive_after_cancel;
                 auto kept = connection;
                 kept->cancel();
                 verdict = !still_watched.expired();
             },
-            [](ExchangeEnd, std::string const&) { FAIL("a cancelled exchange tells nothing"); },
+            [](ExchangeEnd, std::string const&) { FAIL("a cancelled exchange must not call its observer"); },
         };
         owner = nullptr;
         connection->exchange(post(), std::move(observer), 1s, 5s);
@@ -136,7 +136,7 @@
     }
 }
 
-SCENARIO("the pool hands out kept connections only while they are good")
+SCENARIO("the pool returns idle connections only while they are reusable")
 {
     Http::asio::io_context loop;
     ScriptedPeer peer(loop);
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -11,34 +11,34 @@
 
 using namespace Http::Test;
 
-// Seen: lookups on kept connections were handed to backend servers, and their callers' connections closed in the same
-// millisecond with no answer; the runs went on to their ends.
+// Guards against lost requests on persistent connections. Observed failure: requests were forwarded to backend servers
+// and completed there, but the connections of their callers had been closed in the same millisecond without a response.
 //
-// How it can come about: a connection counted as one without a request until its request's body had completed. Its idle
-// timer or the close of idle connections on a planned stop, whose turn came between head and body, closed it, and the
-// body's completion, which was queued already, handed the request on.
+// Cause: a connection counted as idle until the body of its request was complete. The idle timer, or the close of idle
+// connections in a planned stop, ran between head and body and closed the connection. The completion of the body was
+// already queued and forwarded the request.
 //
-// Proved by: this test, which lost all 15 requests either way. What set it off where it was seen is not known.
+// Before the fix, this test lost all 15 requests either way. The trigger of the observed failure is not known.
 SCENARIO("a request on a kept connection is answered, or it is not taken")
 {
     CallerFixture fixture;
     auto request = GENERATE(as<std::string> {}, PersistentCaller::get_request, PersistentCaller::post_request);
     INFO(request);
 
-    GIVEN("a loop that stands still past the idle time-out of its connections, while requests come")
+    GIVEN("an event loop that stalls past the idle timeout of its connections while requests arrive")
     {
         fixture.context->limits.idle_timeout = short_idle_timeout;
         fixture.connect_callers();
         fixture.send_all(request);
         ::Test::stall_for(2 * short_idle_timeout);
         fixture.serve_to_the_end();
-        THEN("every request is taken and answered")
+        THEN("every request is accepted and gets a response")
         {
             CHECK(fixture.accepted_count == caller_count);
             CHECK(fixture.further_responses() == caller_count);
         }
     }
-    GIVEN("requests that come between the loop's look at its sockets and the turns of its timers")
+    GIVEN("requests that arrive after the event loop has polled its sockets and before it runs its timers")
     {
         fixture.context->limits.idle_timeout = short_idle_timeout;
         fixture.connect_callers();
@@ -46,24 +46,24 @@
         earlier.async_wait([&](boost::system::error_code) { fixture.send_all(request); });
         ::Test::stall_for(2 * short_idle_timeout);
         fixture.serve_to_the_end();
-        THEN("every request is taken and answered")
+        THEN("every request is accepted and gets a response")
         {
             CHECK(fixture.accepted_count == caller_count);
             CHECK(fixture.further_responses() == caller_count);
         }
     }
-    GIVEN("a planned stop that closes idle connections at whatever turn of the loop")
+    GIVEN("a planned stop that closes idle connections at any point of the event loop")
     {
         fixture.connect_callers();
-        auto turns_before_the_close = GENERATE(range(0, 4));
-        INFO("turns for each caller before the close: " << turns_before_the_close);
+        auto handlers_before_close = GENERATE(range(0, 4));
+        INFO("handlers run for each caller before the close: " << handlers_before_close);
         fixture.send_all(request);
         fixture.context->closing = true;
-        for (size_t turn = 0; turn < static_cast<size_t>(turns_before_the_close) * caller_count; ++turn)
+        for (size_t i = 0; i < static_cast<size_t>(handlers_before_close) * caller_count; ++i)
             fixture.loop.poll_one();
         fixture.server->close_idle_connections(Http::CloseReason::PlannedStop);
         fixture.serve_to_the_end();
-        THEN("every request is taken and answered")
+        THEN("every request is accepted and gets a response")
         {
             CHECK(fixture.accepted_count == caller_count);
             CHECK(fixture.further_responses() == caller_count);
@@ -76,7 +76,7 @@
     CallerFixture fixture;
     fixture.connect_callers();
     auto& caller = fixture.callers.front();
-    auto is_told = [&](Http::CloseReason reason) {
+    auto was_closed_for = [&](Http::CloseReason reason) {
         return std::ranges::any_of(fixture.closes, [&](auto const& close) {
             return close.reason == reason && close.phase == Http::ConnectionPhase::BetweenRequests;
         });
@@ -84,28 +84,28 @@
 
     WHEN("it has been idle for too long")
     {
-        // It holds from this caller's next wait on; the others wait by the longer one.
+        // The shorter timeout applies from this caller's next wait on. The other callers still have the longer one.
         fixture.context->limits.idle_timeout = short_idle_timeout;
         caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(1);
         fixture.respond_to_all();
         ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
-        CHECK(is_told(Http::CloseReason::Idle));
+        CHECK(was_closed_for(Http::CloseReason::Idle));
         CHECK(fixture.server->open_connections() == caller_count - 1);
     }
-    WHEN("a planned stop closes idle connections while a request's body is still due")
+    WHEN("a planned stop closes idle connections before the body of a request has arrived")
     {
         caller.send(PersistentCaller::post_head);
         fixture.loop.poll();
         fixture.context->closing = true;
         fixture.server->close_idle_connections(Http::CloseReason::PlannedStop);
-        THEN("only that one stays open, and counts as a request under way")
+        THEN("only that connection stays open, and counts as an open request")
         {
             CHECK(fixture.server->open_connections() == 1);
             CHECK(fixture.context->open_requests == 1);
-            CHECK(is_told(Http::CloseReason::PlannedStop));
+            CHECK(was_closed_for(Http::CloseReason::PlannedStop));
         }
-        THEN("its request is answered when the body has come, and the connection ends with that")
+        THEN("its request gets a response after the body has arrived, and then the connection is closed")
         {
             caller.send(PersistentCaller::post_body);
             fixture.serve_to_the_end();
@@ -115,19 +115,20 @@
             CHECK(fixture.context->open_requests == 0);
         }
     }
-    WHEN("the rest of a head does not come")
+    WHEN("the rest of a head does not arrive")
     {
         fixture.context->limits.header_timeout = short_idle_timeout;
         caller.send("GET /ask HTT");
         ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
-        THEN("the caller is told that its request has not run")
+        THEN("the caller gets a response that its request has not run")
         {
             CHECK(caller.bytes().find("408") != std::string::npos);
         }
     }
-    WHEN("a body comes in the same turn of the loop as the end of its time")
+    WHEN("a body arrives in the same event loop iteration in which it times out")
     {
-        // Of some of these lengths the first read leaves a rest, whose turn is after the refusal and before its end.
+        // With some of these lengths, the first read leaves a remainder that is read after the rejection was queued and
+        // before it was sent.
         std::string const long_body(GENERATE(600, 1'200, 2'400), 'x');
         fixture.context->limits.idle_timeout = short_idle_timeout;
         caller.send(PersistentCaller::head_of_post(long_body.size()));
@@ -139,10 +140,10 @@
             return caller.responses() == 2 || caller.is_closed();
         });
         fixture.loop.poll();
-        THEN("it is taken and answered, or refused and not taken")
+        THEN("it is accepted and gets a response, or it is rejected and not accepted")
         {
-            bool const is_refused = caller.bytes().find("408") != std::string::npos;
-            CHECK(is_refused == (fixture.accepted_count == 0));
+            bool const is_rejected = caller.bytes().find("408") != std::string::npos;
+            CHECK(is_rejected == (fixture.accepted_count == 0));
         }
     }
 }
@@ -154,44 +155,44 @@
     auto& caller = fixture.callers.front();
     caller.send(PersistentCaller::post_request);
     fixture.wait_for_taken(1);
-    bool is_told = false;
+    bool is_notified = false;
     auto exchange = fixture.waiting.front();
-    exchange->on_caller_disconnected([&] { is_told = true; });
+    exchange->on_caller_disconnected([&] { is_notified = true; });
 
-    WHEN("the caller has left")
+    WHEN("the caller has disconnected")
     {
         fixture.callers.pop_front();
-        ::Test::run_until(fixture.loop, [&] { return is_told; });
+        ::Test::run_until(fixture.loop, [&] { return is_notified; });
         CHECK_FALSE(exchange->is_open());
     }
-    WHEN("more bytes wait for the caller than may")
+    WHEN("more unsent bytes are queued for the caller than the limit allows")
     {
         fixture.context->limits.body_bytes = 0;
         exchange->begin_stream({});
         std::string const piece(64 << 10, 'x');
-        // A socket's buffers take a few megabytes; what is beyond them waits here.
-        for (size_t i = 0; i < 1000 && !is_told; ++i)
+        // The socket's buffers hold a few megabytes. Further bytes are queued by the connection.
+        for (size_t i = 0; i < 1000 && !is_notified; ++i)
             exchange->send_chunk(piece);
-        CHECK(is_told);
+        CHECK(is_notified);
         CHECK(fixture.closes.back().reason == Http::CloseReason::TooManyPendingBytes);
     }
-    WHEN("its own work ends it")
+    WHEN("the handler of the request aborts it")
     {
         exchange->abort();
-        THEN("it is told nothing that it knows") { CHECK_FALSE(is_told); }
+        THEN("the handler is not notified of its own abort") { CHECK_FALSE(is_notified); }
         CHECK(fixture.closes.back().reason == Http::CloseReason::Aborted);
     }
     CHECK(fixture.context->open_requests == 0);
 }
 
-SCENARIO("a caller is told until when it may use its connection again")
+SCENARIO("a response states how long its connection may be reused")
 {
     CallerFixture fixture;
     fixture.context->limits.idle_timeout = 15s;
     fixture.connect_callers();
     auto& caller = fixture.callers.front();
-    WHEN("it stays open") { CHECK(caller.bytes().find("Keep-Alive: timeout=14\r\n") != std::string::npos); }
-    WHEN("it ends with the answer")
+    WHEN("the connection stays open") { CHECK(caller.bytes().find("Keep-Alive: timeout=14\r\n") != std::string::npos); }
+    WHEN("the connection is closed after the response")
     {
         fixture.context->closing = true;
         caller.send(PersistentCaller::get_request);
@@ -207,7 +208,7 @@
 {
     CallerFixture fixture;
     fixture.connect_callers();
-    // One more for the caller's side; none is left for the server's.
+    // The last free descriptor is for the caller's side of the connection. None is left for the server's side.
     PersistentCaller newcomer(fixture.loop, fixture.endpoint);
     ::Test::DescriptorLimit const limit(::Test::descriptors_in_use());
     newcomer.send(PersistentCaller::get_request);
--- a/Tests/LibHttp/TestCallerTurns.cpp
+++ b/Tests/LibHttp/TestCallerTurns.cpp
@@ -12,26 +12,27 @@
 
 namespace {
 
-/// Does something in the turn of the loop in which a byte arrives here, before what became ready later.
+/// Runs an action in the event loop iteration in which a byte arrives on its own connection, before handlers that
+/// become ready later.
 struct LoopHook {
     LoopHook(Http::asio::io_context& loop, std::function<void()> action)
         : acceptor(loop, { Http::asio::ip::address_v4::loopback(), 0 })
-        , far(loop)
-        , near(loop)
+        , sender(loop)
+        , receiver(loop)
         , action(std::move(action))
     {
-        this->far.connect(this->acceptor.local_endpoint());
-        this->acceptor.accept(this->near);
-        this->near.async_read_some(
+        this->sender.connect(this->acceptor.local_endpoint());
+        this->acceptor.accept(this->receiver);
+        this->receiver.async_read_some(
             Http::asio::buffer(&this->byte, 1), [this](boost::system::error_code, size_t) { this->action(); });
         loop.poll();
     }
 
-    void ring() { Http::asio::write(this->far, Http::asio::buffer("x", 1)); }
+    void trigger() { Http::asio::write(this->sender, Http::asio::buffer("x", 1)); }
 
     Http::tcp::acceptor acceptor;
-    Http::tcp::socket far;
-    Http::tcp::socket near;
+    Http::tcp::socket sender;
+    Http::tcp::socket receiver;
     std::function<void()> action;
     char byte { 0 };
 };
@@ -43,45 +44,45 @@
     CallerFixture fixture;
     auto& caller = fixture.connect_caller();
 
-    WHEN("it leaves between requests")
+    WHEN("it disconnects between requests")
     {
         fixture.callers.clear();
         ::Test::run_until(fixture.loop, [&] { return !fixture.closes.empty(); });
         CHECK(fixture.closes[0].reason == Http::CloseReason::ClosedByCaller);
         CHECK(fixture.closes[0].phase == Http::ConnectionPhase::BetweenRequests);
     }
-    WHEN("it leaves with a further request unread behind the one that is worked on")
+    WHEN("it disconnects with another request unread behind the one in progress")
     {
-        bool is_told = false;
+        bool is_notified = false;
         caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(2);
-        fixture.waiting.front()->on_caller_disconnected([&] { is_told = true; });
+        fixture.waiting.front()->on_caller_disconnected([&] { is_notified = true; });
         caller.send(PersistentCaller::get_request);
         fixture.settle();
         fixture.callers.clear();
-        ::Test::run_until(fixture.loop, [&] { return is_told; });
+        ::Test::run_until(fixture.loop, [&] { return is_notified; });
         CHECK(fixture.closes[0].phase == Http::ConnectionPhase::Responding);
     }
     CHECK(fixture.context->open_requests == 0);
 }
 
-SCENARIO("what has its turn after a connection's close does not open it again")
+SCENARIO("a handler that runs after the close of a connection does not reopen it")
 {
     CallerFixture fixture;
 
-    WHEN("an answer is written in the turn in which its caller has left")
+    WHEN("a response is written in the event loop iteration in which its caller has disconnected")
     {
         auto& caller = fixture.connect_caller();
         caller.send(PersistentCaller::get_request);
         fixture.wait_for_taken(2);
         LoopHook hook(fixture.loop, [&] { fixture.respond_to_all(); });
-        hook.ring();
+        hook.trigger();
         fixture.callers.clear();
         fixture.settle();
         CHECK(fixture.server->open_connections() == 0);
         CHECK(fixture.closes.size() == 1);
     }
-    WHEN("a new connection takes its place in the reactor while its last event is still queued")
+    WHEN("a new connection reuses its reactor entry while its last event is still queued")
     {
         fixture.context->limits.header_timeout = short_idle_timeout;
         PersistentCaller caller(fixture.loop, fixture.endpoint);
@@ -91,11 +92,11 @@
         fixture.waiting.clear();
         LoopHook hook(fixture.loop, [&] { exchange->abort(); });
         fixture.settle();
-        hook.ring();
+        hook.trigger();
         PersistentCaller silent(fixture.loop, fixture.endpoint);
         caller.send("x");
         fixture.settle();
-        THEN("the new one has no request, and is told nothing")
+        THEN("the new connection has no request and receives nothing")
         {
             CHECK(fixture.context->open_requests == 0);
             ::Test::stall_for(2 * short_idle_timeout);
@@ -106,23 +107,24 @@
     }
 }
 
-SCENARIO("a request whose time is over is refused and not taken, or taken and answered")
+SCENARIO("a request that times out is rejected and not accepted, or accepted and gets a response")
 {
     CallerFixture fixture;
     auto& caller = fixture.connect_caller();
-    auto is_refused = [&] { return caller.bytes().find("408") != std::string::npos; };
+    auto is_rejected = [&] { return caller.bytes().find("408") != std::string::npos; };
 
-    WHEN("its body never comes")
+    WHEN("its body never arrives")
     {
         fixture.context->limits.idle_timeout = short_idle_timeout;
         caller.send(PersistentCaller::post_head);
         ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
-        CHECK(is_refused());
+        CHECK(is_rejected());
         CHECK(fixture.accepted_count == 1);
     }
-    WHEN("the rest of its head comes in the same turn of the loop as the end of its time")
+    WHEN("the rest of its head arrives in the same event loop iteration in which it times out")
     {
-        // Of some of these lengths the first read leaves a rest, whose turn is after the refusal and before its end.
+        // With some of these lengths, the first read leaves a remainder that is read after the rejection was queued and
+        // before it was sent.
         std::string const padding(GENERATE(600, 1'200, 2'400), 'x');
         fixture.context->limits.header_timeout = short_idle_timeout;
         caller.send("GET /ask HTTP/1.1\r\n");
@@ -134,15 +136,15 @@
             return caller.responses() == 2 || caller.is_closed();
         });
         fixture.settle();
-        CHECK(is_refused() == (fixture.accepted_count == 1));
+        CHECK(is_rejected() == (fixture.accepted_count == 1));
     }
 }
 
 SCENARIO("a server that has stopped accepting serves those that came before")
 {
     CallerFixture fixture;
-    // The first is accepted in one turn with the stop, the second's accept is queued behind it, and the others have not
-    // been looked at.
+    // The first connection is accepted in the same event loop iteration as the stop. The accept of the second is queued
+    // behind it. The others are still in the backlog.
     constexpr size_t newcomer_count = 6;
     std::list<PersistentCaller> newcomers;
     for (size_t i = 0; i < newcomer_count; ++i) {
