--- a/Libraries/LibConfiguration/Configuration.cpp
+++ b/Libraries/LibConfiguration/Configuration.cpp
@@ -224,7 +224,7 @@
             this->draining.erase(EngineId(change.drain().id()));
         break;
     case wire::Change::CHANGE_NOT_SET:
-        // A newer version wrote a kind of change that this one does not know: it still counts as a revision.
+        // The change was written by a newer version and is unknown to this one. It still counts as a revision.
         break;
     }
     this->current_revision = Revision(entry.revision());
--- a/Libraries/LibConfiguration/Configuration.h
+++ b/Libraries/LibConfiguration/Configuration.h
@@ -17,27 +17,27 @@
 
 namespace Configuration {
 
-/// The configuration as of one revision, in tables. Loop thread only.
+/// The configuration as of one revision. Only for the event loop thread.
 class Document {
 public:
     [[nodiscard]] Revision revision() const { return this->current_revision; }
 
-    /// Says whether `change` could be the next one. Errors: InvalidRequest, UnknownEntity, Conflict.
+    /// Checks whether `change` can be applied to this revision. Errors: InvalidRequest, UnknownEntity, Conflict.
     [[nodiscard]] Result<void> validate(wire::Change const& change) const;
-    /// Takes in the next log entry, which must follow the current revision.
+    /// Applies a log entry. Its revision must directly follow the current one.
     void apply(wire::LogEntry const&);
 
     [[nodiscard]] wire::ConfigurationSnapshot snapshot() const;
     static Document from_snapshot(wire::ConfigurationSnapshot const&);
 
     [[nodiscard]] wire::Organisation const* find_organisation(OrganisationId const&) const;
-    /// The organisation that an API key belongs to, by the key's hash.
+    /// Finds the organisation that owns an API key, by the hash of the key.
     [[nodiscard]] wire::Organisation const* find_organisation_by_key_hash(std::string const& hash) const;
     [[nodiscard]] wire::Route const* find_route(OrganisationId const&, RouteName const&) const;
     [[nodiscard]] wire::Model const* find_model(ModelId const&) const;
     [[nodiscard]] wire::PlainService const* find_service(ServiceName const&) const;
     [[nodiscard]] wire::ResumeKey const* find_resume_key(std::string const& id) const;
-    /// The key that signs, or nothing when none is configured.
+    /// Returns the key that signs new resume tokens, or nothing when none is configured.
     [[nodiscard]] wire::ResumeKey const* newest_resume_key() const;
     [[nodiscard]] bool is_draining(EngineId const&) const;
     [[nodiscard]] std::set<EngineId> const& draining_backend_servers() const { return this->draining; }
@@ -60,7 +60,7 @@
     std::map<std::string, wire::Model> models;
     std::map<RouteKey, wire::Route> routes;
     std::map<std::string, wire::PlainService> services;
-    // In order of creation; the last one signs.
+    // In order of creation. The last key signs.
     std::vector<wire::ResumeKey> resume_keys;
     std::set<EngineId> draining;
 };
--- a/Libraries/LibConfiguration/ConfigurationFollower.cpp
+++ b/Libraries/LibConfiguration/ConfigurationFollower.cpp
@@ -33,19 +33,19 @@
 
 wire::ConfigurationEntries ConfigurationFollower::entries_after(Revision revision) const
 {
-    wire::ConfigurationEntries answer;
+    wire::ConfigurationEntries response;
     if (revision >= this->current.revision())
-        return answer;
+        return response;
     auto is_covered = !this->recent.empty() && this->recent.front().revision() <= revision.value() + 1;
     if (!is_covered) {
-        *answer.mutable_snapshot() = this->current.snapshot();
-        return answer;
+        *response.mutable_snapshot() = this->current.snapshot();
+        return response;
     }
     for (auto const& entry : this->recent) {
         if (entry.revision() > revision.value())
-            *answer.add_entries() = entry;
+            *response.add_entries() = entry;
     }
-    return answer;
+    return response;
 }
 
 }
--- a/Libraries/LibConfiguration/ConfigurationFollower.h
+++ b/Libraries/LibConfiguration/ConfigurationFollower.h
@@ -12,15 +12,16 @@
 
 namespace Configuration {
 
-/// This process's copy of the configuration, fed by the table and by peers. It only moves forward. Keeps the newest
-/// entries for peers that are a little behind. Loop thread only.
+/// This process's replica of the configuration, updated from the platform's table and by peers. Its revision never
+/// decreases. Keeps the newest entries for peers that are a few revisions behind. Only for the event loop thread.
 class ConfigurationFollower {
 public:
-    /// Takes in what follows the current revision and passes over the rest. Says whether the revision moved.
+    /// Applies the entries that follow the current revision and ignores the others. Returns whether the revision
+    /// changed.
     bool apply(std::span<wire::LogEntry const> entries);
-    /// Takes in a snapshot newer than the current revision. Says whether the revision moved.
+    /// Applies a snapshot if it is newer than the current revision. Returns whether the revision changed.
     bool apply(wire::ConfigurationSnapshot const&);
-    /// What a peer at `revision` needs: the entries after it, or a snapshot.
+    /// Returns what a peer at `revision` is missing: the entries after it, or a snapshot if they are no longer kept.
     [[nodiscard]] wire::ConfigurationEntries entries_after(Revision revision) const;
 
     [[nodiscard]] Document const& document() const { return this->current; }
--- a/Libraries/LibConfiguration/ConfigurationLog.h
+++ b/Libraries/LibConfiguration/ConfigurationLog.h
@@ -18,7 +18,7 @@
 
 struct Accepted {
     Revision revision;
-    /// The change had been accepted before; this call changed nothing.
+    /// The change had already been accepted, and this call changed nothing.
     bool repeated { false };
 };
 
@@ -30,7 +30,7 @@
     return json;
 }
 
-/// Parses a message of the schema from JSON. Errors: InvalidRequest.
+/// Parses a protobuf message from JSON. Errors: InvalidRequest.
 template<typename Message>
 Result<Message> from_json(std::string const& json)
 {
@@ -44,9 +44,9 @@
     return message;
 }
 
-/// The one ordered log of changes in the platform's table. A change is accepted by the single transaction that moves
-/// the head from one revision to the next, so that two operators never both get the same revision, and a lost answer
-/// is settled by looking for the change's own id. Calls block.
+/// The ordered log of configuration changes in the platform's table. A single transaction accepts a change and moves
+/// the head from one revision to the next, so that two operators never get the same revision. After a lost response,
+/// the id of the change shows whether it was accepted. Calls block.
 template<Platform::TableStore Store>
 class ConfigurationLog {
 public:
@@ -55,10 +55,11 @@
     {
     }
 
-    /// Appends `change` unless `change_id` was accepted before. `document` must be this process's copy; it is brought
-    /// up to the head as part of the call, so that the change is checked against what it will follow.
-    /// Errors: Conflict when `expected_revision` is not the head or others kept winning; what validate() says;
-    /// PlatformUnavailable when nothing was accepted; PlatformAnswerLost when that could not be found out.
+    /// Appends `change` unless `change_id` was accepted before. `document` must be this process's replica. The call
+    /// updates it to the head, so that the change is validated against the revision that it will follow.
+    /// Errors: Conflict when `expected_revision` is not the head or other changes were accepted first in every attempt;
+    /// the errors of validate(); PlatformUnavailable when nothing was accepted; PlatformAnswerLost when it is unknown
+    /// whether the change was accepted.
     Result<Accepted> append(Document& document, wire::Change const& change, std::string const& change_id,
         std::string const& operator_name, std::optional<Revision> expected_revision)
     {
@@ -78,14 +79,14 @@
         return Error { ErrorKind::Conflict, "other operators kept changing the configuration; try again", 1s };
     }
 
-    /// The head's revision.
+    /// Reads the revision of the head.
     Result<Revision> head()
     {
         TRY(auto row, this->store.read(head_key));
         return parse_revision(row);
     }
 
-    /// The entries after `revision`, in order, at most `limit`.
+    /// Reads at most `limit` entries after `revision`, in order.
     Result<std::vector<wire::LogEntry>> read_after(Revision revision, size_t limit = 500)
     {
         TRY(auto rows, this->store.scan(entry_prefix, entry_key(revision), limit));
@@ -97,7 +98,7 @@
         return entries;
     }
 
-    /// The newest snapshot, or nothing when there is none yet.
+    /// Reads the newest snapshot, or nothing when none was written yet.
     Result<std::optional<wire::ConfigurationSnapshot>> read_snapshot() requires Platform::ObjectStore<Store>
     {
         TRY(auto row, this->store.read(snapshot_key));
@@ -108,9 +109,9 @@
         return std::optional(std::move(snapshot));
     }
 
-    /// Writes `document` as a snapshot if its revision is one of those that get one. A process that starts then reads
-    /// the snapshot and the entries after it instead of the whole log. Losing the answer does no harm: snapshots only
-    /// shorten the way.
+    /// Writes `document` as a snapshot if its revision is a multiple of `revisions_per_snapshot`. A starting process
+    /// reads the snapshot and the entries after it instead of the whole log. A lost response does no harm, since
+    /// snapshots only speed up the start.
     Result<void> write_snapshot_if_due(Document const& document) requires Platform::ObjectStore<Store>
     {
         auto revision = document.revision().value();
@@ -126,7 +127,7 @@
         return success();
     }
 
-    /// Brings `document` up to the head.
+    /// Applies all entries after the revision of `document`.
     Result<void> catch_up(Document& document)
     {
         while (true) {
@@ -159,7 +160,7 @@
         return Revision(row.exists() ? std::stoull(row.value) : 0);
     }
 
-    /// One round: accepted, or nothing when another change came first.
+    /// Attempts the append once. Returns nothing when another change was accepted first.
     Result<std::optional<Accepted>> try_append(Document& document, wire::Change const& change,
         std::string const& change_id, std::string const& operator_name, std::optional<Revision> expected_revision)
     {
--- a/Tests/LibConfiguration/TestConfigurationFollower.cpp
+++ b/Tests/LibConfiguration/TestConfigurationFollower.cpp
@@ -23,24 +23,24 @@
     return entries;
 }
 
-SCENARIO("a process that lags is brought up by a peer")
+SCENARIO("a process that lags behind catches up from a peer")
 {
     auto log = make_log(400);
     ConfigurationFollower ahead;
     ahead.apply(log);
 
-    GIVEN("a peer a little behind")
+    GIVEN("a peer that is a few revisions behind")
     {
-        auto answer = ahead.entries_after(Revision(390));
-        CHECK_FALSE(answer.has_snapshot());
-        CHECK(answer.entries_size() == 10);
+        auto response = ahead.entries_after(Revision(390));
+        CHECK_FALSE(response.has_snapshot());
+        CHECK(response.entries_size() == 10);
     }
     GIVEN("a peer that has just started")
     {
-        auto answer = ahead.entries_after(Revision(0));
-        REQUIRE(answer.has_snapshot());
+        auto response = ahead.entries_after(Revision(0));
+        REQUIRE(response.has_snapshot());
         ConfigurationFollower fresh;
-        CHECK(fresh.apply(answer.snapshot()));
+        CHECK(fresh.apply(response.snapshot()));
         CHECK(fresh.revision() == Revision(400));
     }
     GIVEN("a peer that is ahead") { CHECK(ahead.entries_after(Revision(500)).entries_size() == 0); }
@@ -68,7 +68,7 @@
                 moved = follower.apply(std::span(log).subspan(from, length));
             RC_ASSERT(follower.revision() >= before);
             RC_ASSERT(moved == (follower.revision() > before));
-            // What is in force is exactly the state of its revision.
+            // The document is exactly the state of its revision.
             auto const& expected = states[follower.revision().value()];
             RC_ASSERT(follower.document().snapshot().SerializeAsString() == expected.snapshot().SerializeAsString());
         }
--- a/Tests/LibConfiguration/TestConfigurationLog.cpp
+++ b/Tests/LibConfiguration/TestConfigurationLog.cpp
@@ -24,8 +24,9 @@
     return change;
 }
 
-struct OperatorAtWork {
-    explicit OperatorAtWork(MemoryTable& table)
+/// An operator's process with its own view of the table.
+struct Operator {
+    explicit Operator(MemoryTable& table)
         : view(table)
         , log(this->view)
     {
@@ -45,24 +46,24 @@
 SCENARIO("an accepted change has one revision, however often it is asked for")
 {
     MemoryTable table;
-    OperatorAtWork vesela(table);
+    Operator vesela(table);
     auto accepted = vesela.append("c1", put_model("writer"));
     REQUIRE(accepted.has_value());
     CHECK(accepted.value().revision == Revision(1));
 
-    WHEN("the same change id comes again, from another process")
+    WHEN("another process sends the same change id again")
     {
-        OperatorAtWork other(table);
+        Operator other(table);
         auto repeated = other.append("c1", put_model("writer"));
         CHECK(repeated.value().revision == Revision(1));
         CHECK(repeated.value().repeated);
     }
-    WHEN("the answer to the next write is lost after it was done")
+    WHEN("the response to the next write is lost after the write was done")
     {
-        // Before the commit come the head, the change's row, and the log up to its end.
+        // The calls before the commit read the head, the row of the change, and the log up to its end.
         vesela.view.script({ Fault::None, Fault::None, Fault::None, Fault::None, Fault::LoseAnswer });
         auto second = vesela.append("c2", put_model("reader"));
-        THEN("it is found out, and there is one entry")
+        THEN("the append finds the accepted change, and there is one entry")
         {
             REQUIRE(second.has_value());
             CHECK(second.value().revision == Revision(2));
@@ -76,21 +77,21 @@
         CHECK(second.value().revision == Revision(2));
         CHECK(vesela.log.read_after(Revision(0)).value().size() == 2);
     }
-    WHEN("the platform stays away after a lost answer")
+    WHEN("the platform stays unavailable after a lost response")
     {
         vesela.view.script({ Fault::None, Fault::None, Fault::None, Fault::None, Fault::LoseAnswer });
         vesela.view.set_standing_fault(Fault::Unavailable);
         auto second = vesela.append("c2", put_model("reader"));
-        THEN("it is not said to be refused") { CHECK(second.error().kind == ErrorKind::PlatformAnswerLost); }
+        THEN("the change is not reported as rejected") { CHECK(second.error().kind == ErrorKind::PlatformAnswerLost); }
     }
-    WHEN("the platform is out from the start")
+    WHEN("the platform is unavailable from the start")
     {
         vesela.view.set_standing_fault(Fault::Unavailable);
         CHECK(vesela.append("c2", put_model("reader")).error().kind == ErrorKind::PlatformUnavailable);
     }
 }
 
-/// A view of a table in which something happens between a caller's reads and its commit.
+/// A table that runs an action once, between a writer's reads and its commit.
 struct CrossingTable {
     Result<Platform::Row> read(std::string const& key) { return this->table.read(key); }
     Result<std::vector<Platform::Row>> scan(std::string const& prefix, std::string const& after, size_t limit)
@@ -99,8 +100,8 @@
     }
     Result<Platform::CommitResult> commit(Platform::Transaction const& transaction)
     {
-        if (auto happening = std::exchange(this->before_commit, nullptr))
-            happening();
+        if (auto action = std::exchange(this->before_commit, nullptr))
+            action();
         return this->table.commit(transaction);
     }
 
@@ -111,7 +112,7 @@
 SCENARIO("two operators whose calls cross get a revision each")
 {
     MemoryTable table;
-    OperatorAtWork dimitar(table);
+    Operator dimitar(table);
     CrossingTable view { table, [&] { REQUIRE(dimitar.append("d", put_model("b")).has_value()); } };
     ConfigurationLog log(view);
     Document document;
@@ -123,7 +124,7 @@
     CHECK(entries[1].change_id() == "v");
 }
 
-SCENARIO("a process that starts reads a snapshot and what follows it")
+SCENARIO("a starting process reads a snapshot and the entries after it")
 {
     MemoryTable table;
     ConfigurationLog log(table);
@@ -145,39 +146,39 @@
 SCENARIO("of two operators who race from the same revision, one gets a conflict")
 {
     MemoryTable table;
-    OperatorAtWork vesela(table);
-    OperatorAtWork dimitar(table);
+    Operator vesela(table);
+    Operator dimitar(table);
     REQUIRE(vesela.append("c1", put_model("writer")).has_value());
     REQUIRE(vesela.append("v", put_model("a"), Revision(1)).has_value());
-    auto refused = dimitar.append("d", put_model("b"), Revision(1));
-    REQUIRE_FALSE(refused.has_value());
-    CHECK(refused.error().kind == ErrorKind::Conflict);
-    CHECK(refused.error().message.find("revision 2") != std::string::npos);
+    auto rejected = dimitar.append("d", put_model("b"), Revision(1));
+    REQUIRE_FALSE(rejected.has_value());
+    CHECK(rejected.error().kind == ErrorKind::Conflict);
+    CHECK(rejected.error().message.find("revision 2") != std::string::npos);
 }
 
 TEST_CASE("operators, lost answers and outages leave one gapless log", "[property]")
 {
     rc::prop("configuration log", [] {
         MemoryTable table;
-        std::vector<std::unique_ptr<OperatorAtWork>> operators;
+        std::vector<std::unique_ptr<Operator>> operators;
         for (int i = 0; i < 3; ++i)
-            operators.push_back(std::make_unique<OperatorAtWork>(table));
+            operators.push_back(std::make_unique<Operator>(table));
         std::map<std::string, u64> accepted;
         auto steps = *rc::gen::inRange(1, 40);
         for (int i = 0; i < steps; ++i) {
-            auto& who = *operators[*rc::gen::inRange<size_t>(0, operators.size())];
+            auto& writer = *operators[*rc::gen::inRange<size_t>(0, operators.size())];
             auto id = "c" + std::to_string(*rc::gen::inRange(0, 12));
             std::deque<Fault> faults;
             for (int call = 0; call < 8; ++call)
                 faults.push_back(*rc::gen::weightedElement<Fault>({ { 6, Fault::None }, { 1, Fault::Unavailable },
                     { 2, Fault::LoseAnswer }, { 1, Fault::LoseRequest } }));
-            who.view.script(faults);
-            auto result = who.append(id, put_model("m-" + id));
-            who.view.script({});
+            writer.view.script(faults);
+            auto result = writer.append(id, put_model("m-" + id));
+            writer.view.script({});
             if (!result)
                 continue;
             auto revision = result.value().revision.value();
-            // Once accepted, always the same revision.
+            // An accepted change always has the same revision.
             auto known = accepted.emplace(id, revision);
             RC_ASSERT(known.first->second == revision);
         }
--- a/Tests/LibConfiguration/TestDocument.cpp
+++ b/Tests/LibConfiguration/TestDocument.cpp
@@ -16,7 +16,7 @@
     return change.value();
 }
 
-static void accept(Document& document, std::string const& json)
+static void apply_change(Document& document, std::string const& json)
 {
     wire::LogEntry entry;
     entry.set_revision(document.revision().value() + 1);
@@ -25,7 +25,7 @@
     document.apply(entry);
 }
 
-static ErrorKind refusal_of(Document const& document, std::string const& json)
+static ErrorKind validation_error(Document const& document, std::string const& json)
 {
     auto result = document.validate(change_from(json));
     REQUIRE_FALSE(result.has_value());
@@ -35,33 +35,36 @@
 
 static std::string const hash_a(64, 'a');
 
-SCENARIO("the configuration refuses what does not fit together")
+SCENARIO("the configuration rejects invalid and conflicting changes")
 {
     Document document;
-    accept(document, R"({"putModel":{"id":"writer","adapters":["summaries"]}})");
-    accept(document, R"({"putOrganisation":{"id":"toll","apiKeyHashes":[")" + hash_a + R"("]}})");
-    accept(document, R"({"putRoute":{"organisation":"toll","name":"summary","model":"writer","adapter":"summaries"}})");
+    apply_change(document, R"({"putModel":{"id":"writer","adapters":["summaries"]}})");
+    apply_change(document, R"({"putOrganisation":{"id":"toll","apiKeyHashes":[")" + hash_a + R"("]}})");
+    apply_change(
+        document, R"({"putRoute":{"organisation":"toll","name":"summary","model":"writer","adapter":"summaries"}})");
 
-    CHECK(refusal_of(document, R"({"putRoute":{"organisation":"nobody","name":"x","model":"writer"}})")
+    CHECK(validation_error(document, R"({"putRoute":{"organisation":"nobody","name":"x","model":"writer"}})")
         == ErrorKind::UnknownEntity);
-    CHECK(refusal_of(document, R"({"putRoute":{"organisation":"toll","name":"x","model":"other"}})")
+    CHECK(validation_error(document, R"({"putRoute":{"organisation":"toll","name":"x","model":"other"}})")
         == ErrorKind::UnknownEntity);
-    CHECK(refusal_of(document, R"({"putRoute":{"organisation":"toll","name":"x","model":"writer","adapter":"y"}})")
+    CHECK(
+        validation_error(document, R"({"putRoute":{"organisation":"toll","name":"x","model":"writer","adapter":"y"}})")
         == ErrorKind::UnknownEntity);
-    CHECK(refusal_of(document, R"({"deleteModel":"writer"})") == ErrorKind::Conflict);
-    CHECK(refusal_of(document, R"({"putModel":{"id":"writer"}})") == ErrorKind::Conflict);
-    CHECK(refusal_of(document, R"({"putOrganisation":{"id":"hanak","apiKeyHashes":[")" + hash_a + R"("]}})")
+    CHECK(validation_error(document, R"({"deleteModel":"writer"})") == ErrorKind::Conflict);
+    CHECK(validation_error(document, R"({"putModel":{"id":"writer"}})") == ErrorKind::Conflict);
+    CHECK(validation_error(document, R"({"putOrganisation":{"id":"hanak","apiKeyHashes":[")" + hash_a + R"("]}})")
         == ErrorKind::Conflict);
-    CHECK(refusal_of(document, R"({"putOrganisation":{"id":"a b"}})") == ErrorKind::InvalidRequest);
-    CHECK(refusal_of(document, R"({"putOrganisation":{"id":"x","apiKeyHashes":["secret"]}})")
+    CHECK(validation_error(document, R"({"putOrganisation":{"id":"a b"}})") == ErrorKind::InvalidRequest);
+    CHECK(validation_error(document, R"({"putOrganisation":{"id":"x","apiKeyHashes":["secret"]}})")
         == ErrorKind::InvalidRequest);
-    CHECK(refusal_of(document, R"({"putResumeKey":{"id":"k","secretHexadecimal":"00"}})") == ErrorKind::InvalidRequest);
-    CHECK(refusal_of(document, "{}") == ErrorKind::InvalidRequest);
+    CHECK(validation_error(document, R"({"putResumeKey":{"id":"k","secretHexadecimal":"00"}})")
+        == ErrorKind::InvalidRequest);
+    CHECK(validation_error(document, "{}") == ErrorKind::InvalidRequest);
 
     WHEN("an organisation is deleted")
     {
-        accept(document, R"({"deleteOrganisation":"toll"})");
-        THEN("its routes and keys go with it")
+        apply_change(document, R"({"deleteOrganisation":"toll"})");
+        THEN("its routes and keys are deleted too")
         {
             CHECK_FALSE(document.find_route(OrganisationId("toll"), RouteName("summary")));
             CHECK_FALSE(document.find_organisation_by_key_hash(hash_a));
@@ -70,7 +73,7 @@
     WHEN("a snapshot is taken")
     {
         auto copy = Document::from_snapshot(document.snapshot());
-        THEN("it is the same configuration")
+        THEN("the copy equals the original")
         {
             CHECK(Configuration::to_json(copy.snapshot()) == Configuration::to_json(document.snapshot()));
             CHECK(copy.find_organisation_by_key_hash(hash_a));
@@ -82,7 +85,7 @@
 {
     Document document;
     for (char digit : std::string("0123456"))
-        accept(document,
+        apply_change(document,
             std::string(R"({"putResumeKey":{"id":"key-)") + digit + R"(","secretHexadecimal":")"
                 + std::string(32, digit) + "\"}}");
     CHECK(document.newest_resume_key()->id() == "key-6");
