--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -35,7 +35,8 @@
     return events;
 }
 
-/// Enough of an incarnation to tell two starts of one member apart; a mistake would only keep a dead one for a while.
+/// Returns the low bits of an incarnation, enough to distinguish two starts of one member. A collision would only keep
+/// a dead member in the table for longer.
 static u32 truncated_incarnation(Incarnation incarnation)
 {
     constexpr u64 check_mask = 0x3fff;
@@ -45,27 +46,27 @@
 void MemberTable::receive_full(wire::MemberState const& state, Instant now, std::vector<MemberEvent>& events)
 {
     MemberId id(state.id());
-    std::pair news { Incarnation(state.incarnation()), state.heartbeat() };
+    std::pair update { Incarnation(state.incarnation()), state.heartbeat() };
     if (id == this->self.id) {
-        // Someone remembers a later start of this member: the host's clock went back. Outrank it.
-        if (news.first > this->self.incarnation)
-            this->self.incarnation = Incarnation(news.first.value() + 1);
+        // A peer knows a later incarnation of this member, so the host's clock went back. Exceed that incarnation.
+        if (update.first > this->self.incarnation)
+            this->self.incarnation = Incarnation(update.first.value() + 1);
         return;
     }
-    auto gone = this->lost.find(id);
-    if (gone != this->lost.end() && news <= gone->second)
+    auto lost_entry = this->lost.find(id);
+    if (lost_entry != this->lost.end() && update <= lost_entry->second)
         return;
     auto [row, is_new] = this->rows.try_emplace(id);
     auto& member = row->second;
-    if (!is_new && news <= std::pair(member.incarnation, member.heartbeat))
+    if (!is_new && update <= std::pair(member.incarnation, member.heartbeat))
         return;
     if (is_new)
-        events.push_back({ id, MemberChange::Joined, news.first });
-    else if (news.first > member.incarnation)
-        events.push_back({ id, MemberChange::Replaced, news.first });
+        events.push_back({ id, MemberChange::Joined, update.first });
+    else if (update.first > member.incarnation)
+        events.push_back({ id, MemberChange::Replaced, update.first });
     if (state.leaving() && !member.leaving)
-        events.push_back({ id, MemberChange::Leaving, news.first });
-    member = { id, state.role(), Address(state.address()), news.first, news.second, state.leaving(),
+        events.push_back({ id, MemberChange::Leaving, update.first });
+    member = { id, state.role(), Address(state.address()), update.first, update.second, state.leaving(),
         Revision(state.revision()), now };
     this->lost.erase(id);
 }
@@ -117,7 +118,7 @@
     gossip.set_failure_domain(domain.value());
     write_full(this->self, *gossip.add_members());
     for (auto const& [id, row] : this->rows) {
-        // What is unlike the rest must be said in full.
+        // A member that is leaving or at another revision needs its full row, which a compact row does not carry.
         auto is_ordinary = row.revision == this->self.revision && !row.leaving;
         if (detail == GossipDetail::Compact && is_ordinary)
             write_compact(row, *gossip.add_members());
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -17,7 +17,7 @@
 
 namespace Membership {
 
-/// One process of the system in this failure domain, as last heard of.
+/// A process of the system in this failure domain, as last reported.
 struct MemberRow {
     MemberId id;
     wire::Role role { wire::ROLE_UNSPECIFIED };
@@ -26,7 +26,7 @@
     u64 heartbeat { 0 };
     bool leaving { false };
     Revision revision;
-    /// When the heartbeat last grew, on this host's clock.
+    /// When the heartbeat last increased, by this host's clock.
     Instant last_advance;
 };
 
@@ -37,7 +37,7 @@
     Lost,
 };
 
-/// Writes all that is known of a member.
+/// Writes all fields of a member to a gossip message.
 void write_full(MemberRow const&, wire::MemberState&);
 
 struct MemberEvent {
@@ -46,42 +46,44 @@
     Incarnation incarnation;
 };
 
-/// How much a view says of members other than its sender.
+/// The fields that a gossip message contains for members other than its sender.
 enum class GossipDetail : u8 {
-    /// Who is alive and at which revision: what changes all the time.
+    /// The heartbeat and a check value of the incarnation, which change all the time. The member counts as being at the
+    /// sender's revision.
     Compact,
-    /// Role and address as well: what a member must be told once.
+    /// All fields, including role and address, which a peer needs only once.
     Full,
 };
 
-/// The members of one failure domain, kept by gossip: each beat a member raises its own heartbeat and sends what it
-/// knows of everyone to a few others (van Renesse et al., 1998). A member whose heartbeat has not grown for
-/// `silence_limit` counts as lost. Nothing is agreed: views may differ for a while, and nothing that must hold
+/// The members of one failure domain, maintained by gossip: each member periodically increments its own heartbeat and
+/// sends its view of all members to a few others (van Renesse et al., 1998). A member whose heartbeat has not increased
+/// for `silence_limit` counts as lost. There is no consensus: views may differ for a while, and no safety property
 /// depends on them.
 class MemberTable {
 public:
     MemberTable(MemberRow self, Duration silence_limit);
 
-    /// Raises this member's own heartbeat and drops members silent for too long.
+    /// Increments this member's heartbeat and removes members that were silent for longer than the limit.
     std::vector<MemberEvent> advance_heartbeat(Instant now);
-    /// Takes in another member's view.
+    /// Merges another member's view.
     std::vector<MemberEvent> receive(wire::Gossip const&, Instant now);
-    /// This member's view, to be sent.
+    /// Returns this member's view as a message.
     [[nodiscard]] wire::Gossip gossip(FailureDomainId const&, GossipDetail) const;
 
     void set_own_revision(Revision revision) { this->self.revision = revision; }
     void set_own_leaving() { this->self.leaving = true; }
     [[nodiscard]] MemberRow const& own() const { return this->self; }
-    /// Whom to send the next view: up to `count` others, drawn anew each time. Not in turn: members that start together
-    /// would all send to the same ones at the same time, and each would hear nothing for long in between.
+    /// Returns the targets of the next gossip message: up to `count` other members, chosen at random each time. With a
+    /// round robin, members that start together would all send to the same targets at the same time, and each would
+    /// receive nothing for a long time in between.
     [[nodiscard]] std::vector<Address> sample_targets(size_t count, std::mt19937& random) const;
-    /// Every other live member.
+    /// Returns all other live members.
     [[nodiscard]] std::vector<MemberRow> others() const;
     [[nodiscard]] MemberRow const* find(MemberId const&) const;
     /// Whether a live member listens at this address.
     [[nodiscard]] bool knows_address(Address const&) const;
-    /// The live, not leaving member of `role` that owns `key`, by rendezvous hashing; the own row takes part. Nothing
-    /// when there is none but those in `except`.
+    /// Returns the live member of `role` that owns `key` by rendezvous hashing, among all members including this one,
+    /// except leaving ones and those in `except`. Returns nothing when no member remains.
     [[nodiscard]] MemberRow const* owner_of(
         std::string const& key, wire::Role role, std::set<MemberId> const& except = {}) const;
 
@@ -92,7 +94,7 @@
     MemberRow self;
     Duration silence_limit;
     std::map<MemberId, MemberRow> rows;
-    // Incarnations of members that were lost, so that an old view passed on does not bring them back.
+    // Incarnation and heartbeat of lost members, so that a forwarded old view does not add them again.
     std::map<MemberId, std::pair<Incarnation, u64>> lost;
 };
 
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -30,7 +30,7 @@
 
 static Instant at(int seconds) { return Instant() + std::chrono::seconds(seconds); }
 
-SCENARIO("members come and go by what is heard of them")
+SCENARIO("members join, restart, leave and are lost by received gossip")
 {
     MemberTable own(row("router-1", 10), silence);
     MemberTable other(row("router-2", 20), silence);
@@ -40,7 +40,7 @@
     REQUIRE(events.size() == 1);
     CHECK(events[0].change == MemberChange::Joined);
 
-    WHEN("the same view comes again and nothing newer")
+    WHEN("only the same view is received again")
     {
         auto old_view = other.gossip(domain, GossipDetail::Full);
         for (int second = 1; second <= 5; ++second) {
@@ -55,19 +55,19 @@
             CHECK(own.receive(old_view, at(7)).empty());
             CHECK(own.others().empty());
         }
-        THEN("a newer heartbeat does")
+        THEN("a newer heartbeat adds it again")
         {
             (void)other.advance_heartbeat(at(7));
             CHECK(own.receive(other.gossip(domain, GossipDetail::Full), at(7)).size() == 1);
         }
     }
-    WHEN("the member starts again")
+    WHEN("the member restarts")
     {
         MemberTable restarted(row("router-2", 30), silence);
         auto again = own.receive(restarted.gossip(domain, GossipDetail::Full), at(1));
         REQUIRE(again.size() == 1);
         CHECK(again[0].change == MemberChange::Replaced);
-        THEN("the view of its earlier self is passed over")
+        THEN("the view of its earlier start is ignored")
         {
             CHECK(own.receive(other.gossip(domain, GossipDetail::Full), at(1)).empty());
         }
@@ -79,7 +79,7 @@
         auto leaving = own.receive(other.gossip(domain, GossipDetail::Full), at(1));
         REQUIRE(leaving.size() == 1);
         CHECK(leaving[0].change == MemberChange::Leaving);
-        THEN("it owns nothing any more")
+        THEN("it owns no key any more")
         {
             for (int i = 0; i < 50; ++i)
                 CHECK(own.owner_of("pool-" + std::to_string(i), wire::ROLE_ROUTER)->id == MemberId("router-1"));
@@ -87,7 +87,7 @@
     }
 }
 
-SCENARIO("a member whose host's clock went back outranks its earlier self")
+SCENARIO("a member whose host's clock went back exceeds the incarnation of its earlier start")
 {
     MemberTable before(row("router-1", 500), silence);
     MemberTable after(row("router-1", 100), silence);
@@ -101,11 +101,11 @@
     constexpr size_t fanout = 2;
     constexpr Duration limit = 8s;
     std::vector<MemberTable> members;
-    std::map<Address, size_t> number_of;
+    std::map<Address, size_t> index_of;
     for (size_t i = 0; i < count; ++i) {
         auto own = row("member-" + std::to_string(i), 1);
         own.address = Address("127.0.0.1:" + std::to_string(i + 1));
-        number_of[own.address] = i;
+        index_of[own.address] = i;
         members.emplace_back(own, limit);
     }
     for (auto& member : members) {
@@ -119,13 +119,13 @@
             lost += member.advance_heartbeat(at(second)).size();
         for (auto const& member : members) {
             for (auto const& target : member.sample_targets(fanout, random))
-                (void)members[number_of[target]].receive(member.gossip(domain, GossipDetail::Compact), at(second));
+                (void)members[index_of[target]].receive(member.gossip(domain, GossipDetail::Compact), at(second));
         }
     }
     CHECK(lost == 0);
 }
 
-SCENARIO("compact views keep known members alive and bring no unknown ones")
+SCENARIO("compact views keep known members alive and add no unknown ones")
 {
     MemberTable own(row("router-1", 10), silence);
     MemberTable relay(row("router-2", 20), silence);
@@ -146,7 +146,7 @@
         CHECK(own.advance_heartbeat(at(second)).empty());
     }
     CHECK(own.find(MemberId("router-3"))->address == Address("127.0.0.1:1"));
-    WHEN("it starts again")
+    WHEN("it restarts")
     {
         (void)relay.receive(MemberTable(row("router-3", 40), silence).gossip(domain, GossipDetail::Full), at(11));
         CHECK(own.receive(relay.gossip(domain, GossipDetail::Compact), at(11)).empty());
@@ -156,7 +156,7 @@
     }
 }
 
-SCENARIO("pools move only when their owner goes")
+SCENARIO("pools change owner only when their owner leaves")
 {
     MemberTable table(row("router-0", 1), silence);
     for (int i = 1; i < 6; ++i)
