--- a/Libraries/LibNode/Daemon.cpp
+++ b/Libraries/LibNode/Daemon.cpp
@@ -21,7 +21,7 @@
 {
     gflags::SetUsageMessage(usage);
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    // Hosts have no disks: logs go to the standard error.
+    // Hosts have no disks, so logs go to standard error.
     FLAGS_logtostderr = true;
     google::InitGoogleLogging(argv[0]);
     auto reader = Core::SettingsReader::load(FLAGS_settings);
@@ -35,12 +35,13 @@
     return 0;
 }
 
-Result<void> serve_until_stopped(NodeSettings const& settings, std::function<Result<BeginStop>(Node&)> const& make_part)
+Result<void> serve_until_stopped(
+    NodeSettings const& settings, std::function<Result<BeginStop>(Node&)> const& make_service)
 {
     Core::StopSignal stop_signal;
     try {
         Node node(settings);
-        TRY(auto begin_stop, make_part(node));
+        TRY(auto begin_stop, make_service(node));
         StatusServer status(node);
         node.start();
         stop_signal.watch([&] { node.loop().post(begin_stop); });
--- a/Libraries/LibNode/Daemon.h
+++ b/Libraries/LibNode/Daemon.h
@@ -14,18 +14,18 @@
 
 namespace Node {
 
-/// What every daemon's main() does: flags, logs and settings. `serve` is called with the settings file and returns when
-/// the process is to end. With --check_settings it is called with `only_check` set and must read the settings and
-/// return without serving. The result is the exit code of the process.
+/// Runs the common part of every daemon's main(): flags, logs and settings. Calls `serve` with the settings file;
+/// `serve` returns when the process is to exit. With --check_settings, `only_check` is set, and `serve` must read the
+/// settings and return without serving. Returns the exit code of the process.
 int run_daemon(int argc, char** argv, std::string const& usage,
     std::function<Result<void>(Core::SettingsReader&, bool only_check)> const& serve);
 
-/// Begins a planned stop. Called on the loop, which must be stopped when all is done. Holds the daemon's own part,
-/// which lives as long as this.
+/// Begins a planned stop. Called on the event loop, and must stop the loop when everything is done. Owns the daemon's
+/// service, which lives as long as this function object.
 using BeginStop = std::function<void()>;
 
-/// Makes the node and, by `make_part`, what is the daemon's own on it; serves until a planned stop is over. Errors:
-/// InvalidSettings when it cannot start.
-Result<void> serve_until_stopped(NodeSettings const&, std::function<Result<BeginStop>(Node&)> const& make_part);
+/// Creates the node and, with `make_service`, the daemon's own service on it. Serves until a planned stop is complete.
+/// Errors: InvalidSettings when the daemon cannot start.
+Result<void> serve_until_stopped(NodeSettings const&, std::function<Result<BeginStop>(Node&)> const& make_service);
 
 }
--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -12,12 +12,12 @@
 
 using Core::EventNumber;
 
-// Members other than the poller look at the table themselves this many times more seldom.
+// Members other than the poller read the table at this multiple of the poll period.
 static constexpr int follower_poll_factor = 10;
-// Who owns this key reads for the failure domain and hands on what is new.
+// The owner of this key polls the platform for the failure domain and broadcasts updates.
 static constexpr auto reader_key = "platform-reader";
 static constexpr size_t gossip_fanout = 2;
-// Views go out in full for some beats after members came or went, and now and then in any case.
+// Views are sent in full for some heartbeats after members were added or removed, and periodically in any case.
 static constexpr u64 full_gossip_heartbeats_after_change = 4;
 static constexpr u64 full_gossip_period = 16;
 static constexpr u64 remote_digest_heartbeats = 5;
@@ -43,7 +43,8 @@
     row.id = settings.member;
     row.role = settings.role;
     row.address = settings.peer_listen;
-    // A later start has a later wall clock; if the clock went back, peers say so and the number is raised.
+    // A later start normally has a later wall clock. If the clock went back, the gossip of peers shows the higher
+    // number, and the member table raises this one above it.
     row.incarnation = Incarnation(Core::SystemClock().wall_milliseconds());
     return row;
 }
@@ -93,7 +94,7 @@
 std::vector<Address> Node::gossip_targets()
 {
     auto targets = this->member_table.sample_targets(gossip_fanout, this->random);
-    // One seed a beat that is not known as a member: it may have started since, or come back.
+    // In each heartbeat, also try one configured peer that is not a known member: it may have started or returned.
     std::vector<Address> unknown;
     for (auto const& seed : this->node_settings.peers) {
         if (seed != this->node_settings.peer_listen && !this->member_table.knows_address(seed))
@@ -119,9 +120,9 @@
     if (remote.empty() || !this->is_poller() || this->heartbeat_count % remote_digest_heartbeats != 0)
         return;
     wire::Envelope envelope;
-    auto whole = this->member_table.gossip(this->node_settings.failure_domain, Membership::GossipDetail::Compact);
+    auto gossip = this->member_table.gossip(this->node_settings.failure_domain, Membership::GossipDetail::Compact);
     envelope.mutable_gossip()->set_failure_domain(this->node_settings.failure_domain.value());
-    *envelope.mutable_gossip()->add_members() = whole.members(0);
+    *envelope.mutable_gossip()->add_members() = gossip.members(0);
     this->send(remote[this->heartbeat_count / remote_digest_heartbeats % remote.size()], std::move(envelope));
 }
 
@@ -193,10 +194,10 @@
         this->receive_gossip(envelope);
         return;
     case wire::Envelope::kConfigurationFetch: {
-        wire::Envelope answer;
-        *answer.mutable_configuration_entries()
+        wire::Envelope response;
+        *response.mutable_configuration_entries()
             = this->follower.entries_after(Revision(envelope.configuration_fetch().after_revision()));
-        this->send(Address(envelope.sender_address()), std::move(answer));
+        this->send(Address(envelope.sender_address()), std::move(response));
         return;
     }
     case wire::Envelope::kConfigurationEntries:
@@ -206,16 +207,16 @@
         this->receive_events_fetch(envelope);
         return;
     case wire::Envelope::kBackendServersFetch: {
-        wire::Envelope answer;
-        answer.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
-        this->send(Address(envelope.sender_address()), std::move(answer));
+        wire::Envelope response;
+        response.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
+        this->send(Address(envelope.sender_address()), std::move(response));
         return;
     }
     case wire::Envelope::kBackendServers: {
         auto parsed = Platform::parse_backend_servers(envelope.backend_servers().json());
         auto const* reader = this->owner_of(reader_key);
         auto is_from_reader = reader && reader->id == MemberId(envelope.sender());
-        // Another peer's list only stands in for one that has not come yet.
+        // Another peer's list is used only until the first list arrives.
         if (parsed && (is_from_reader || this->servers.empty()))
             this->apply_backend_servers(std::move(parsed.value()));
         return;
@@ -239,19 +240,19 @@
     if (newest > this->follower.revision().value())
         this->fetch_configuration_from(sender);
     else if (!is_local && newest < this->follower.revision().value()) {
-        wire::Envelope answer;
-        *answer.mutable_configuration_entries() = this->follower.entries_after(Revision(newest));
-        this->send(sender, std::move(answer));
+        wire::Envelope response;
+        *response.mutable_configuration_entries() = this->follower.entries_after(Revision(newest));
+        this->send(sender, std::move(response));
     }
     if (is_local && this->servers.empty()) {
-        wire::Envelope question;
-        question.mutable_backend_servers_fetch();
-        this->send(sender, std::move(question));
+        wire::Envelope request;
+        request.mutable_backend_servers_fetch();
+        this->send(sender, std::move(request));
     }
-    bool learnt = false;
+    bool changed = false;
     for (auto const& id : gossip.leaving_backend_servers())
-        learnt |= this->leaving_servers.emplace(EngineId(id), now()).second;
-    if (learnt) {
+        changed |= this->leaving_servers.emplace(EngineId(id), now()).second;
+    if (changed) {
         for (auto const& handler : this->backend_handlers)
             handler();
     }
@@ -260,10 +261,10 @@
 void Node::receive_events_fetch(wire::Envelope const& envelope)
 {
     auto const& fetch = envelope.events_fetch();
-    wire::Envelope answer;
-    answer.set_correlation(envelope.correlation());
+    wire::Envelope response;
+    response.set_correlation(envelope.correlation());
     auto maximum = std::min<size_t>(fetch.maximum(), max_event_batch);
-    auto* batch = answer.mutable_event_batch();
+    auto* batch = response.mutable_event_batch();
     for (auto const& event : this->event_log.latest(maximum, fetch.subject())) {
         auto* record = batch->add_events();
         record->set_wall_milliseconds(event.stamp.wall_milliseconds);
@@ -274,24 +275,24 @@
         record->set_subject(event.subject);
         record->set_organisation(event.organisation.value());
     }
-    this->send(Address(envelope.sender_address()), std::move(answer));
+    this->send(Address(envelope.sender_address()), std::move(response));
 }
 
 // Configuration
 
 void Node::fetch_configuration_from(Address const& peer)
 {
-    wire::Envelope question;
-    question.mutable_configuration_fetch()->set_after_revision(this->follower.revision().value());
-    this->send(peer, std::move(question));
+    wire::Envelope request;
+    request.mutable_configuration_fetch()->set_after_revision(this->follower.revision().value());
+    this->send(peer, std::move(request));
 }
 
-void Node::receive_entries(wire::ConfigurationEntries const& answer)
+void Node::receive_entries(wire::ConfigurationEntries const& received)
 {
     bool moved = false;
-    if (answer.has_snapshot())
-        moved |= this->follower.apply(answer.snapshot());
-    std::vector<wire::LogEntry> entries(answer.entries().begin(), answer.entries().end());
+    if (received.has_snapshot())
+        moved |= this->follower.apply(received.snapshot());
+    std::vector<wire::LogEntry> entries(received.entries().begin(), received.entries().end());
     moved |= this->follower.apply(entries);
     if (moved)
         this->revision_moved();
@@ -312,17 +313,18 @@
     if (!this->follower.apply(entries))
         return;
     this->revision_moved();
-    wire::Envelope news;
+    wire::Envelope update;
     for (auto const& entry : entries)
-        *news.mutable_configuration_entries()->add_entries() = entry;
+        *update.mutable_configuration_entries()->add_entries() = entry;
     for (auto const& member : this->member_table.others())
-        this->send(member.address, news);
+        this->send(member.address, update);
 }
 
 void Node::poll_configuration()
 {
     auto period = this->node_settings.configuration_poll_period * (this->is_poller() ? 1 : follower_poll_factor);
-    // The first poll, and the one after a change of poller, do not wait.
+    // The first poll is due immediately, and so are the next ones until a configuration is known. After a change of
+    // poller, the new one uses the shorter period at once.
     auto is_due = this->last_configuration_poll == Instant() || now() - this->last_configuration_poll >= period
         || !this->configuration_known;
     if (this->configuration_poll_runs || !is_due)
@@ -331,57 +333,57 @@
     this->last_configuration_poll = now();
     this->background_caller.submit(
         [this, revision = this->follower.revision()] { return this->read_configuration_update(revision); },
-        [this](Result<ConfigurationUpdate> const& news) { this->apply_configuration_update(news); });
+        [this](Result<ConfigurationUpdate> const& update) { this->apply_configuration_update(update); });
 }
 
-/// On a background thread: touches nothing but the platform's client.
+/// Runs on a background thread and uses only the platform client.
 Result<Node::ConfigurationUpdate> Node::read_configuration_update(Revision known)
 {
     Configuration::ConfigurationLog log(this->platform_client);
-    ConfigurationUpdate news;
+    ConfigurationUpdate update;
     if (known == Revision(0)) {
-        TRY(news.snapshot, log.read_snapshot());
-        if (news.snapshot)
-            known = Revision(news.snapshot->revision());
+        TRY(update.snapshot, log.read_snapshot());
+        if (update.snapshot)
+            known = Revision(update.snapshot->revision());
     }
-    TRY(news.entries, log.read_after(known));
-    return news;
+    TRY(update.entries, log.read_after(known));
+    return update;
 }
 
-void Node::apply_configuration_update(Result<ConfigurationUpdate> const& news)
+void Node::apply_configuration_update(Result<ConfigurationUpdate> const& update)
 {
     this->configuration_poll_runs = false;
-    this->record_platform_result(without_value(news));
-    if (!news)
+    this->record_platform_result(without_value(update));
+    if (!update)
         return;
     this->configuration_known = true;
-    if (news.value().snapshot && this->follower.apply(*news.value().snapshot))
+    if (update.value().snapshot && this->follower.apply(*update.value().snapshot))
         this->revision_moved();
-    if (!news.value().entries.empty())
-        this->broadcast_entries(news.value().entries);
+    if (!update.value().entries.empty())
+        this->broadcast_entries(update.value().entries);
 }
 
 Duration Node::since_platform_contact() const { return now() - this->last_platform_contact; }
 
-void Node::record_platform_result(Result<void> const& answer)
+void Node::record_platform_result(Result<void> const& result)
 {
-    if (answer) {
+    if (result) {
         this->last_platform_contact = now();
         if (!this->platform_is_available)
-            this->event_log.record(EventNumber::PlatformAvailable, "platform", "answers again");
+            this->event_log.record(EventNumber::PlatformAvailable, "platform", "responds again");
         this->platform_is_available = true;
         this->staleness_reported = false;
         return;
     }
     if (this->platform_is_available)
         this->event_log.record(EventNumber::PlatformUnavailable, "platform",
-            "serving on revision " + std::to_string(this->follower.revision().value()) + ": " + answer.error().message);
+            "serving on revision " + std::to_string(this->follower.revision().value()) + ": " + result.error().message);
     this->platform_is_available = false;
     if (this->staleness_reported || this->since_platform_contact() < staleness_limit)
         return;
     this->staleness_reported = true;
     this->event_log.record(EventNumber::ConfigurationStale, std::to_string(this->follower.revision().value()),
-        "the platform has not answered for " + std::to_string(staleness_limit / 1s) + " s; newer changes may exist");
+        "the platform has not responded for " + std::to_string(staleness_limit / 1s) + " s; newer changes may exist");
 }
 
 // Backend servers
@@ -408,10 +410,10 @@
 
 void Node::broadcast_backend_servers()
 {
-    wire::Envelope news;
-    news.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
+    wire::Envelope update;
+    update.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
     for (auto const& member : this->member_table.others())
-        this->send(member.address, news);
+        this->send(member.address, update);
 }
 
 void Node::apply_backend_servers(std::vector<Platform::BackendServerRecord> list)
@@ -466,7 +468,7 @@
     if (this->leaving)
         return "leaving";
     if (!this->configuration_known)
-        return "no configuration yet: neither the platform nor a peer has answered";
+        return "no configuration yet: neither the platform nor a peer has responded";
     if (!this->router_known)
         return "no router of this failure domain is known yet";
     return "ready";
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -27,8 +27,8 @@
 
 namespace Node {
 
-/// What every daemon has: the loop, membership, the configuration in force, and the list of backend servers. The
-/// daemon's own part takes the messages that are not for this one. Loop thread only, but for what is said otherwise.
+/// The common part of every daemon: the event loop, membership, the current configuration and the list of backend
+/// servers. The daemon's service handles all other messages. Only for the event loop thread unless stated otherwise.
 class Node {
 public:
     explicit Node(NodeSettings);
@@ -36,41 +36,43 @@
     /// Begins gossip and polling. Call once, before the loop runs.
     void start();
 
-    /// Messages that the node itself does not handle.
+    /// Sets the handler of messages that the node does not handle itself.
     void on_message(std::function<void(wire::Envelope const&)> handler) { this->message_handler = std::move(handler); }
-    /// Called after the configuration moved to a newer revision.
+    /// Adds a handler that is called after the configuration moved to a newer revision.
     void on_revision(std::function<void()> handler) { this->revision_handlers.push_back(std::move(handler)); }
-    /// Called after members came, left or were lost.
+    /// Adds a handler that is called after members joined, restarted, began to leave or were lost.
     void on_members(std::function<void()> handler) { this->member_handlers.push_back(std::move(handler)); }
-    /// Called after the list of backend servers or of leaving ones changed.
+    /// Adds a handler that is called after the list of backend servers, or of leaving ones, changed.
     void on_backend_servers(std::function<void()> handler) { this->backend_handlers.push_back(std::move(handler)); }
 
     void send(Address const& peer, wire::Envelope envelope) { this->peer_transport.send(peer, std::move(envelope)); }
-    /// The router that owns `key` by this process's view, or would if those in `except` were gone. It may be this very
-    /// process.
+    /// Returns the router that owns `key` in this process's view, or that would own it without those in `except`. It
+    /// may be this process.
     [[nodiscard]] Membership::MemberRow const* owner_of(
         std::string const& key, std::set<MemberId> const& except = {}) const;
 
     [[nodiscard]] Configuration::Document const& configuration() const { return this->follower.document(); }
-    /// Entries accepted by this process itself, and entries read from the table, go to every other member at once.
+    /// Applies entries that this process accepted or read from the table. If any is new, sends them to all other
+    /// members immediately.
     void broadcast_entries(std::vector<wire::LogEntry> const& entries);
     [[nodiscard]] std::vector<Platform::BackendServerRecord> const& backend_servers() const { return this->servers; }
-    /// Whether a backend server must get no new work: by the platform's list, by its own word, or by an operator.
+    /// Whether a backend server must get no new work: according to the platform's list, its own report or an operator.
     [[nodiscard]] bool is_leaving(EngineId const&) const;
-    /// A backend server said itself that it is leaving. Told to every other member at once.
+    /// Records that a backend server reported itself as leaving, and informs all other members immediately.
     void backend_server_is_leaving(EngineId const&);
-    /// A backend server that was leaving says that it is not any more.
+    /// Records that a backend server no longer reports itself as leaving.
     void backend_server_is_back(EngineId const& id) { this->leaving_servers.erase(id); }
 
-    /// Not ready to the balancer from now on. Members stop giving this one new work.
+    /// Makes this process not ready for the balancer and announces that it is leaving, so that members give it no new
+    /// work.
     void begin_leaving();
     [[nodiscard]] bool is_leaving_itself() const { return this->leaving; }
-    /// Whether the daemon can serve: it knows some configuration, from the platform or from peers, and a gateway knows
-    /// a router. Any thread.
+    /// Whether the daemon can serve: it has a configuration, from the platform or from peers; a gateway also knows a
+    /// router; and it is not leaving. Any thread.
     [[nodiscard]] bool is_ready() const { return this->configuration_known && this->router_known && !this->leaving; }
-    /// Why not, for the readiness page. Any thread.
+    /// Returns why the daemon is not ready, for the readiness page. Any thread.
     [[nodiscard]] std::string readiness_reason() const;
-    /// Whether the loop has turned lately. Any thread.
+    /// Whether the event loop has run a heartbeat recently. Any thread.
     [[nodiscard]] bool is_live() const;
 
     Core::EventLoop& loop() { return this->event_loop; }
@@ -96,7 +98,7 @@
     [[nodiscard]] std::vector<Address> gossip_targets();
     void fetch_configuration_from(Address const& peer);
     void poll_configuration();
-    /// What one look at the configuration log brought.
+    /// The result of one poll of the configuration log.
     struct ConfigurationUpdate {
         std::optional<wire::ConfigurationSnapshot> snapshot;
         std::vector<wire::LogEntry> entries;
@@ -127,7 +129,7 @@
     std::vector<std::function<void()>> backend_handlers;
     u64 heartbeat_count { 0 };
     std::mt19937 random;
-    /// Up to this beat views go out in full, because members have come or gone.
+    /// Up to this heartbeat, views are sent in full because members were added or removed.
     u64 full_gossip_until_heartbeat { 0 };
     bool configuration_poll_runs { false };
     bool backend_poll_runs { false };
@@ -138,11 +140,11 @@
     bool staleness_reported { false };
     bool readiness_recorded { false };
     std::atomic<bool> configuration_known { false };
-    /// Of use to gateways only; true for the others from the start.
+    /// Only used by gateways. Always true for other roles.
     std::atomic<bool> router_known { false };
     std::atomic<bool> leaving { false };
     std::atomic<i64> last_heartbeat_milliseconds;
-    // Last, so that its threads end before anything they use.
+    // Declared last, so that its threads end before the members they use are destroyed.
     Core::BackgroundCaller background_caller;
 };
 
--- a/Libraries/LibNode/NodeSettings.h
+++ b/Libraries/LibNode/NodeSettings.h
@@ -15,20 +15,21 @@
 
 namespace Node {
 
-/// The settings that every daemon has. Base/*.yaml shows each with its default.
+/// Settings common to all daemons. Base/*.yaml shows each with its default.
 struct NodeSettings {
     MemberId member;
     wire::Role role { wire::ROLE_UNSPECIFIED };
     FailureDomainId failure_domain;
-    /// Where other daemons reach this one, over ZeroMQ.
+    /// The ZeroMQ address at which other daemons reach this one.
     Address peer_listen;
-    /// Daemons of this failure domain to begin gossip with.
+    /// Daemons of this failure domain with which to begin gossip.
     std::vector<Address> peers;
-    /// Daemons of other failure domains, one or two each, to learn of newer revisions from when the platform is out.
+    /// One or two daemons of each other failure domain, from which to fetch newer revisions while the platform is
+    /// unavailable.
     std::vector<Address> remote_peers;
     Address platform;
     Duration platform_timeout { 2s };
-    /// Health, metrics and events over HTTP.
+    /// The HTTP address that serves health, metrics and events.
     Address status_listen;
     Duration heartbeat_period { 1s };
     Duration silence_limit { 8s };
@@ -37,7 +38,7 @@
     std::optional<Wire::CurveKeys> curve;
 };
 
-/// Reads the keys under "node". Complaints stay in the reader.
+/// Reads the keys under "node". The reader collects the errors.
 NodeSettings read_node_settings(Core::SettingsReader&, wire::Role);
 
 }
--- a/Libraries/LibNode/StatusServer.cpp
+++ b/Libraries/LibNode/StatusServer.cpp
@@ -16,7 +16,7 @@
 
 using Poco::Net::HTTPResponse;
 
-static constexpr size_t events_shown = 1000;
+static constexpr size_t max_events_shown = 1000;
 
 static void respond(Poco::Net::HTTPServerResponse& response, HTTPResponse::HTTPStatus status, std::string const& body)
 {
@@ -36,7 +36,8 @@
     {
         auto const& path = request.getURI();
         if (path == "/health/live")
-            this->respond_health(response, this->node.is_live(), this->node.is_live() ? "live" : "the loop is stuck");
+            this->respond_health(
+                response, this->node.is_live(), this->node.is_live() ? "live" : "the event loop is stuck");
         else if (path == "/health/ready")
             this->respond_health(response, this->node.is_ready(), this->node.readiness_reason());
         else if (path == "/metrics")
@@ -57,7 +58,7 @@
     std::string events()
     {
         std::string text;
-        for (auto const& event : this->node.events().latest(events_shown))
+        for (auto const& event : this->node.events().latest(max_events_shown))
             text += Core::format_event(event) + '\n';
         return text;
     }
--- a/Libraries/LibNode/StatusServer.h
+++ b/Libraries/LibNode/StatusServer.h
@@ -12,8 +12,8 @@
 
 namespace Node {
 
-/// Health, metrics and the time line of one daemon over HTTP: /health/live, /health/ready, /metrics, /events. Its
-/// handlers run on threads of their own and read only what is safe to read from any thread.
+/// Serves the health, metrics and events of one daemon over HTTP: /health/live, /health/ready, /metrics, /events. The
+/// handlers run on separate threads and read only state that is safe to read from any thread.
 class StatusServer {
 public:
     /// Throws Poco::Exception when the address cannot be bound.
