--- a/Libraries/LibRouter/ClaimHandler.cpp
+++ b/Libraries/LibRouter/ClaimHandler.cpp
@@ -10,7 +10,7 @@
 namespace Router {
 
 static constexpr size_t max_batch_size = 200;
-// A write each period at most, for all domains together by the share of the owners: few beside those of the claims.
+// The owner of the claims in each failure domain writes at most once per period: few writes beside those of the claims.
 static constexpr Duration sweep_period = 20s;
 static constexpr size_t rows_per_sweep = 500;
 
@@ -23,7 +23,8 @@
 
 void ClaimHandler::receive(wire::ClaimRequest const& request, Address const& sender)
 {
-    // A question asked again while its answer is on the way is answered twice, with the same answer: the nonce says so.
+    // A request that is repeated while its response is on the way gets two equal responses, since the nonce is the
+    // same.
     this->waiting.push_back(
         { { OrganisationId(request.organisation()), request.idempotency_key(), request.nonce() }, sender });
 }
@@ -33,7 +34,7 @@
     this->releases.push_back({ OrganisationId(release.organisation()), release.idempotency_key(), release.nonce() });
 }
 
-/// Deletes claims whose calls truly did not run. Best effort: a claim that stays only makes its key unusable.
+/// Deletes claims whose calls are known not to have run. Best effort: a claim that remains only makes its key unusable.
 static void release_claims(Platform::HttpPlatform& platform, std::vector<Platform::Claim> const& claims)
 {
     Platform::Transaction transaction;
--- a/Libraries/LibRouter/ClaimHandler.h
+++ b/Libraries/LibRouter/ClaimHandler.h
@@ -12,9 +12,9 @@
 
 namespace Router {
 
-/// Collects the claims of a failure domain and writes them together, one transaction at a time, so that the number of
-/// writes does not grow with the number of calls. Which router does it is not agreed on: two at once only share the
-/// work, since the table decides. Loop thread only.
+/// Collects the claims of a failure domain and writes them in batches, one transaction at a time, so that the number of
+/// writes does not grow with the number of calls. Routers do not agree on which one does this: two at once only share
+/// the work, since the platform's table decides each claim. Only for the event loop thread.
 class ClaimHandler {
 public:
     ClaimHandler(Node::Node&, Duration period);
--- a/Libraries/LibRouter/EngineControl.cpp
+++ b/Libraries/LibRouter/EngineControl.cpp
@@ -52,23 +52,23 @@
     return report;
 }
 
-Result<EngineReport> fetch_report(Address const& address, u64 after_cache_sequence, Duration patience)
+Result<EngineReport> fetch_report(Address const& address, u64 after_cache_sequence, Duration timeout)
 {
     auto path = "/v1/load?after_cache_sequence=" + std::to_string(after_cache_sequence);
-    auto answer = Platform::call_http(address, { "GET", path, {}, {} }, patience);
-    if (!answer)
-        return engine_failed(answer.error().detail);
-    if (answer.value().status != 200)
-        return engine_failed("status " + std::to_string(answer.value().status));
+    auto response = Platform::call_http(address, { "GET", path, {}, {} }, timeout);
+    if (!response)
+        return engine_failed(response.error().detail);
+    if (response.value().status != 200)
+        return engine_failed("status " + std::to_string(response.value().status));
     try {
         Poco::JSON::Parser parser;
-        return read_report(*parser.parse(answer.value().body).extract<Object::Ptr>());
+        return read_report(*parser.parse(response.value().body).extract<Object::Ptr>());
     } catch (Poco::Exception const& exception) {
         return engine_failed(exception.displayText());
     }
 }
 
-Result<void> send_order(Address const& address, EngineOrder const& order, Duration patience)
+Result<void> send_order(Address const& address, EngineOrder const& order, Duration timeout)
 {
     Object body;
     body.set("epoch", static_cast<Poco::UInt64>(order.epoch.value()));
@@ -79,13 +79,13 @@
     body.set("adapters", adapters);
     std::ostringstream text;
     body.stringify(text);
-    auto answer = Platform::call_http(address, { "POST", "/v1/orders", text.str(), {} }, patience);
-    if (!answer)
-        return engine_failed(answer.error().detail);
-    if (answer.value().status == 409)
+    auto response = Platform::call_http(address, { "POST", "/v1/orders", text.str(), {} }, timeout);
+    if (!response)
+        return engine_failed(response.error().detail);
+    if (response.value().status == 409)
         return Error { ErrorKind::FencedOut, "a later order has reached the engine; this one is dropped", {} };
-    if (answer.value().status != 200)
-        return engine_failed("status " + std::to_string(answer.value().status));
+    if (response.value().status != 200)
+        return engine_failed("status " + std::to_string(response.value().status));
     return success();
 }
 
--- a/Libraries/LibRouter/EngineControl.h
+++ b/Libraries/LibRouter/EngineControl.h
@@ -14,7 +14,7 @@
 
 namespace Router {
 
-/// What an engine says of itself.
+/// An engine's report of its own state.
 struct EngineReport {
     double used_tokens { 0 };
     double capacity_tokens { 0 };
@@ -24,28 +24,28 @@
     double preemptions { 0 };
     Duration age { 0 };
     bool is_leaving { false };
-    /// Generations that run or wait there.
+    /// Generations that are running or waiting at the engine.
     std::vector<GenerationId> generations;
     std::vector<std::string> adapters;
-    /// Prefixes that came into the cache or left it since the sequence number asked for.
+    /// Prefixes that were added to the cache (true) or evicted from it (false) after the requested sequence number.
     std::vector<std::pair<u64, bool>> cache_events;
     u64 cache_sequence { 0 };
-    /// Events after the number asked for are lost: what is believed of the cache must be forgotten.
+    /// Events after the requested sequence number are lost, so the known state of the cache must be discarded.
     bool cache_has_gap { false };
 };
 
-/// Reads an engine's report. Blocks. Errors: BackendServerFailed.
-Result<EngineReport> fetch_report(Address const&, u64 after_cache_sequence, Duration patience);
+/// Fetches an engine's report. Blocks. Errors: BackendServerFailed.
+Result<EngineReport> fetch_report(Address const&, u64 after_cache_sequence, Duration timeout);
 
-/// An order to an engine, with what fences it.
+/// An order to an engine, with the epoch and revision that fence it.
 struct EngineOrder {
     Epoch epoch;
     Revision revision;
     std::vector<std::string> adapters;
 };
 
-/// Orders an engine to hold exactly these adapters. Blocks. Errors: FencedOut when it has seen a later epoch or
-/// revision, BackendServerFailed.
-Result<void> send_order(Address const&, EngineOrder const&, Duration patience);
+/// Orders an engine to hold exactly these adapters. Blocks. Errors: FencedOut when the engine has seen a later epoch or
+/// revision; BackendServerFailed.
+Result<void> send_order(Address const&, EngineOrder const&, Duration timeout);
 
 }
--- a/Libraries/LibRouter/OrderKeeper.cpp
+++ b/Libraries/LibRouter/OrderKeeper.cpp
@@ -17,7 +17,7 @@
     , settings(settings)
     , lease(std::make_shared<Platform::Lease>("lease/" + node.settings().failure_domain.value() + "/orders",
           node.settings().member.value(), settings.lease_term, settings.lease_margin,
-          // Apart from those of earlier starts of this member by far more than one start can use.
+          // Shifted so that the numbers of different starts of this member cannot overlap: one start uses far fewer.
           Core::SystemClock().wall_milliseconds() << 16))
 {
     node.loop().every(settings.lease_term / 3, [this] { this->renew_lease(); });
@@ -65,12 +65,12 @@
     auto text = "epoch " + std::to_string(order.epoch.value()) + " revision " + std::to_string(order.revision.value());
     this->node.background().submit(
         [until = *may_act_until, address = engine.address, order,
-            patience = this->settings.engine_timeout]() -> Result<void> {
-            // The thread may have been held up since the loop looked.
+            timeout = this->settings.engine_timeout]() -> Result<void> {
+            // The background thread may have been delayed since the event loop checked the lease.
             if (now() >= until)
                 return Error { ErrorKind::FencedOut, "the lease lapsed before the order left; the next holder gives it",
                     {} };
-            return send_order(address, order, patience);
+            return send_order(address, order, timeout);
         },
         [this, id = engine.id, text](Result<void> const& result) {
             this->orders_in_flight.erase(id);
--- a/Libraries/LibRouter/OrderKeeper.h
+++ b/Libraries/LibRouter/OrderKeeper.h
@@ -16,15 +16,16 @@
 
 namespace Router {
 
-/// Keeps the engines of the failure domain holding the adapters that the configuration says. One router at a time
-/// gives orders, by a lease in the platform's table; each order carries the lease's epoch and the revision it follows
-/// from. Engines that do not check epochs get an order only when a late or doubled one does no harm, which holds for
-/// "hold these adapters". Loop thread only.
+/// Makes the engines of the failure domain hold the adapters that the configuration requires. A lease in the platform's
+/// table ensures that only one router at a time sends orders. Each order carries the lease's epoch and the
+/// configuration revision that it follows from. Engines that do not check epochs may only get orders that do no harm
+/// when they arrive late or twice, which holds for "hold these adapters". Only for the event loop thread.
 class OrderKeeper {
 public:
     OrderKeeper(Node::Node&, RouterSettings const&);
 
-    /// An engine said which adapters it holds.
+    /// Handles an engine's report of the adapters that it holds. Sends an order if they differ from the required ones
+    /// and this router holds the lease.
     void engine_reported(Platform::BackendServerRecord const&, std::vector<std::string> const& adapters);
 
 private:
@@ -33,7 +34,7 @@
 
     Node::Node& node;
     RouterSettings const& settings;
-    // Touched by one background call at a time, and by the loop only between calls.
+    // Used by one background call at a time, and by the event loop only between calls.
     std::shared_ptr<Platform::Lease> lease;
     bool is_renewing { false };
     bool was_holder { false };
--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -11,9 +11,9 @@
 
 using Core::EventNumber;
 
-// A generation the engine no longer lists is given up after this long, should its gateway have died.
+// A generation that its engine does not list is dropped after this time, in case its gateway has died.
 static constexpr Duration unlisted_timeout = 3s;
-// A pool that was asked about is kept up to date for a while, whoever owns it.
+// A pool is kept up to date for this long after a request for it, even if another router owns it.
 static constexpr Duration requested_pool_retention = 30s;
 
 static Instant now() { return AK::BootClock::now(); }
@@ -130,8 +130,8 @@
         return;
     engine.is_being_polled = true;
     this->node.background().submit(
-        [address = engine.record.address, after = engine.cache_sequence, patience = this->settings.engine_timeout] {
-            return fetch_report(address, after, patience);
+        [address = engine.record.address, after = engine.cache_sequence, timeout = this->settings.engine_timeout] {
+            return fetch_report(address, after, timeout);
         },
         [this, model = pool.model, id = engine.record.id](
             Result<EngineReport> const& report) { this->handle_report(model, id, report); });
@@ -221,7 +221,7 @@
 {
     OrganisationId organisation_id(request.organisation());
     RouteName route_name(request.route());
-    // Checked here as well as at the gateway, whose configuration may be older.
+    // Checked here as well as at the gateway, because the gateway's configuration may be older.
     auto const* organisation = this->node.configuration().find_organisation(organisation_id);
     auto const* route = this->node.configuration().find_route(organisation_id, route_name);
     if (!organisation || !route) {
@@ -363,7 +363,7 @@
 
 void RouterLoop::record_silent_engines(Pool& pool)
 {
-    // Only the owner asks engines all the time; to others they are silent as a matter of course.
+    // Only the owner polls the engines continuously. To other routers, they are always silent after a while.
     if (!pool.is_own)
         return;
     for (auto const& row : pool.scheduler.view().engines) {
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -19,14 +19,14 @@
 
 namespace Router {
 
-/// The decisions of one router: a scheduler for each pool (the engines of this failure domain that serve one model).
-/// Which router owns a pool follows from membership; a router that is asked about a pool it does not own answers all
-/// the same. Loop thread only.
+/// Runs a scheduler for each pool (the engines of this failure domain that serve one model). Membership determines
+/// which router owns a pool. A router also handles requests for pools that it does not own. Only for the event loop
+/// thread.
 class RouterLoop {
 public:
     RouterLoop(Node::Node&, RouterSettings const&);
 
-    /// Requests waiting for an engine.
+    /// Number of requests that are waiting for an engine.
     [[nodiscard]] size_t queued_count() const;
 
 private:
@@ -49,7 +49,7 @@
         ModelId model;
         Scheduler scheduler;
         std::map<EngineId, EngineState> engines;
-        /// Where each generation's gateway is, and when it was placed.
+        /// The address of the gateway that requested each generation.
         std::unordered_map<GenerationId, Address> requesters;
         bool is_own { false };
         Instant last_requested;
@@ -65,9 +65,9 @@
     void update_all_engines();
     void update_ownership();
     void poll_engines();
-    /// Whether the pool's engines are asked all the time.
+    /// Whether the pool's engines are polled continuously.
     [[nodiscard]] static bool is_in_use(Pool const&);
-    /// Begins to ask the engines of a pool that was not in use.
+    /// Begins to poll the engines of a pool that was not in use.
     void start_polling(Pool&);
     void poll_engine(Pool&, EngineState&);
     void handle_report(ModelId const&, EngineId const&, Result<EngineReport> const&);
--- a/Libraries/LibRouter/RouterSettings.h
+++ b/Libraries/LibRouter/RouterSettings.h
@@ -10,15 +10,16 @@
 
 namespace Router {
 
-/// The settings under "router", beside those of the node.
+/// The settings under "router", in addition to those of the node.
 struct RouterSettings {
     Node::NodeSettings node;
     Duration tick_period { 50ms };
     Duration load_poll_period { 500ms };
     Duration engine_timeout { 1s };
-    /// Claims wait so long to be written together: 22 domains then stay under 100 writes a second.
+    /// How long claims are collected before they are written together. At this value, 22 failure domains stay below 100
+    /// writes per second.
     Duration claim_period { 250ms };
-    /// A lease for orders to engines lasts so long, and is renewed at a third of it.
+    /// Term of the lease for orders to engines. The lease is renewed every third of the term.
     Duration lease_term { 15s };
     Duration lease_margin { 3s };
 };
