--- a/Libraries/LibNode/Daemon.cpp
+++ b/Libraries/LibNode/Daemon.cpp
@@ -12,7 +12,7 @@
 #include <iostream>
 
 DEFINE_string(settings, "", "YAML settings file of this process; Base/ holds examples");
-DEFINE_bool(check_settings, false, "check the settings, say what is wrong with them, and exit");
+DEFINE_bool(check_settings, false, "check the settings, report errors in them, and exit");
 
 namespace Node {
 
