--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -87,7 +87,7 @@
         }
         std::unique_lock lock(this->mutex);
         this->wait_for_step(lock, duration);
-        this->take_events(events);
+        this->apply_step_events(events);
         this->past_loads.emplace_back(AK::BootClock::now(), this->engine.load());
         while (
             this->past_loads.size() > 1 && this->past_loads[1].first <= AK::BootClock::now() - this->options.report_age)
@@ -110,7 +110,7 @@
     return AK::from_seconds(AK::to_seconds(duration) * this->options.time_scale);
 }
 
-void FakeEngine::take_events(std::vector<EngineModel::StepEvent> const& events)
+void FakeEngine::apply_step_events(std::vector<EngineModel::StepEvent> const& events)
 {
     for (auto const& event : events) {
         if (event.kind == EngineModel::StepEventKind::PrefixCached
--- a/StandIns/FakeEngine/FakeEngine.h
+++ b/StandIns/FakeEngine/FakeEngine.h
@@ -83,7 +83,7 @@
     void step_forever();
     void wait_for_step(std::unique_lock<std::mutex>&, Duration);
     [[nodiscard]] Duration scaled(Duration) const;
-    void take_events(std::vector<EngineModel::StepEvent> const&);
+    void apply_step_events(std::vector<EngineModel::StepEvent> const&);
     void stop_orphans();
     /// The token at `offset`, which differs between executions, so that mixed outputs show.
     /// Wakes the streams that wait, and whoever watches the stand-in.
