--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -58,12 +58,12 @@
 FakeEngine::~FakeEngine()
 {
     this->stopping = true;
-    this->tell_of_change();
+    this->notify_change();
     this->stepper.join();
     this->server.reset();
 }
 
-void FakeEngine::tell_of_change()
+void FakeEngine::notify_change()
 {
     this->changed.notify_all();
     if (this->options.on_change)
@@ -92,7 +92,7 @@
         while (
             this->past_loads.size() > 1 && this->past_loads[1].first <= AK::BootClock::now() - this->options.report_age)
             this->past_loads.pop_front();
-        this->tell_of_change();
+        this->notify_change();
     }
 }
 
@@ -218,7 +218,7 @@
         if (factor != query.end())
             this->options.time_scale = std::stod(factor->second);
     }
-    this->tell_of_change();
+    this->notify_change();
 }
 
 void FakeEngine::serve_start(Request& request, Response& response)
@@ -258,7 +258,7 @@
         this->write_plan(*execution, length);
         this->engine.start({ execution->key, static_cast<i64>(prompt.size()) / bytes_per_token + 1, length,
             body->optValue<int>("priority", 0), body->optValue<Poco::UInt64>("prefix_hash", 0) });
-        this->tell_of_change();
+        this->notify_change();
     }
     this->stream(request, response, execution, 0);
 }
@@ -295,7 +295,7 @@
         if (found != this->executions.end() && found->second->attempt <= attempt) {
             found->second->is_cancelled = true;
             this->engine.cancel(found->second->key);
-            this->tell_of_change();
+            this->notify_change();
         }
     }
     answer(response, 200, "{}");
--- a/StandIns/FakeEngine/FakeEngine.h
+++ b/StandIns/FakeEngine/FakeEngine.h
@@ -87,7 +87,7 @@
     void stop_orphans();
     /// The token at `offset`, which differs between executions, so that mixed outputs show.
     /// Wakes the streams that wait, and whoever watches the stand-in.
-    void tell_of_change();
+    void notify_change();
     void write_plan(Execution const&, i64 output_tokens);
     [[nodiscard]] std::string word(u64 key, size_t offset) const;
     void wait_while_frozen();
