--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -127,13 +127,13 @@
             continue;
         auto& execution = *found->second;
         if (event.kind == EngineModel::StepEventKind::Token)
-            execution.tokens.push_back(this->word(execution.key, execution.tokens.size()));
+            execution.tokens.push_back(this->token_text(execution.key, execution.tokens.size()));
         else if (event.kind == EngineModel::StepEventKind::Finished)
             execution.is_finished = true;
     }
 }
 
-std::string FakeEngine::word(u64 key, size_t offset) const
+std::string FakeEngine::token_text(u64 key, size_t offset) const
 {
     auto seed = XXH64(this->options.name.data(), this->options.name.size(), key);
     return std::string(words[XXH64(&offset, sizeof(offset), seed) % words.size()]);
@@ -461,7 +461,7 @@
         return;
     std::vector<std::string> tokens;
     for (size_t offset = 0; offset < static_cast<size_t>(output_tokens); ++offset)
-        tokens.push_back(this->word(execution.key, offset));
+        tokens.push_back(this->token_text(execution.key, offset));
     std::ofstream(this->options.history_path, std::ios::app)
         << history_line(execution.name, execution.generation, execution.attempt, true, tokens);
 }
--- a/StandIns/FakeEngine/FakeEngine.h
+++ b/StandIns/FakeEngine/FakeEngine.h
@@ -89,7 +89,7 @@
     /// Wakes the streams that wait, and whoever watches the stand-in.
     void notify_change();
     void write_plan(Execution const&, i64 output_tokens);
-    [[nodiscard]] std::string word(u64 key, size_t offset) const;
+    [[nodiscard]] std::string token_text(u64 key, size_t offset) const;
     void wait_while_frozen();
     std::string load_json(u64 after_cache_sequence);
 
