--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -22,7 +22,7 @@
 using Poco::JSON::Object;
 
 static constexpr Duration keep_alive_period = 300ms;
-static constexpr Duration longest_idle_wait = 50ms;
+static constexpr Duration max_idle_wait = 50ms;
 static constexpr size_t kept_cache_events = 64;
 static constexpr i64 bytes_per_token = 4;
 static constexpr auto words = std::to_array<std::string_view>({ "the ", "lane ", "was ", "closed ", "because ",
@@ -79,7 +79,7 @@
             std::unique_lock lock(this->mutex);
             this->stop_orphans();
             if (this->engine.is_idle()) {
-                this->changed.wait_for(lock, longest_idle_wait);
+                this->changed.wait_for(lock, max_idle_wait);
                 continue;
             }
             events.clear();
@@ -101,8 +101,7 @@
     auto began = AK::BootClock::now();
     // The scale may be changed, and the stand-in stopped, in the middle of a long step.
     while (!this->stopping && AK::BootClock::now() < began + this->scaled(duration))
-        this->changed.wait_until(
-            lock, std::min(began + this->scaled(duration), AK::BootClock::now() + longest_idle_wait));
+        this->changed.wait_until(lock, std::min(began + this->scaled(duration), AK::BootClock::now() + max_idle_wait));
 }
 
 Duration FakeEngine::scaled(Duration duration) const
@@ -155,7 +154,7 @@
 {
     std::unique_lock lock(this->mutex);
     while (this->is_frozen && !this->stopping)
-        this->changed.wait_for(lock, longest_idle_wait);
+        this->changed.wait_for(lock, max_idle_wait);
 }
 
 void FakeEngine::serve(Request& request, Response& response)
