--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -23,7 +23,7 @@
 
 static constexpr Duration keep_alive_period = 300ms;
 static constexpr Duration max_idle_wait = 50ms;
-static constexpr size_t kept_cache_events = 64;
+static constexpr size_t max_cache_events = 64;
 static constexpr i64 bytes_per_token = 4;
 static constexpr auto words = std::to_array<std::string_view>({ "the ", "lane ", "was ", "closed ", "because ",
     "barrier ", "sensor ", "reported ", "a ", "vehicle ", "and ", "card ", "sale ", "refused ", "after ", "plaza " });
@@ -115,7 +115,7 @@
         if (event.kind == EngineModel::StepEventKind::PrefixCached
             || event.kind == EngineModel::StepEventKind::PrefixEvicted) {
             this->cache_events.emplace_back(event.key, event.kind == EngineModel::StepEventKind::PrefixCached);
-            if (this->cache_events.size() > kept_cache_events) {
+            if (this->cache_events.size() > max_cache_events) {
                 this->cache_events.pop_front();
                 ++this->cache_events_dropped;
             }
