--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -203,7 +203,7 @@
         this->is_frozen = false;
     else if (action == "cut")
         // Every open stream ends in the middle; what runs goes on.
-        ++this->cuts;
+        ++this->disconnect_count;
     else if (action == "forget") {
         // As after a restart: what ran is gone.
         for (auto& [generation, execution] : this->executions) {
@@ -211,7 +211,7 @@
             this->engine.cancel(execution->key);
         }
         this->executions.clear();
-        ++this->cuts;
+        ++this->disconnect_count;
     } else if (action == "scale") {
         auto factor = query.find("factor");
         if (factor != query.end())
@@ -345,7 +345,7 @@
         std::lock_guard lock(this->mutex);
         response.set("Lilactiller-Attachment", std::to_string(++execution->attachments));
         ++execution->attached;
-        cuts_seen = this->cuts;
+        cuts_seen = this->disconnect_count;
     }
     response.setContentType("text/event-stream");
     response.setChunkedTransferEncoding(true);
@@ -356,7 +356,7 @@
         this->wait_while_frozen();
         {
             std::lock_guard lock(this->mutex);
-            if (this->cuts != cuts_seen)
+            if (this->disconnect_count != cuts_seen)
                 break;
         }
         if (!this->write_new_tokens(response, output, *execution, next_offset, is_done))
--- a/StandIns/FakeEngine/FakeEngine.h
+++ b/StandIns/FakeEngine/FakeEngine.h
@@ -113,7 +113,7 @@
     std::atomic<bool> stopping { false };
     bool is_leaving { false };
     bool is_frozen { false };
-    u64 cuts { 0 };
+    u64 disconnect_count { 0 };
     std::unique_ptr<HttpStandIn> server;
     std::thread stepper;
 };
