--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -340,12 +340,12 @@
 void FakeEngine::stream(
     Request& request, Response& response, std::shared_ptr<Execution> const& execution, u64 next_offset)
 {
-    u64 cuts_seen = 0;
+    u64 seen_disconnect_count = 0;
     {
         std::lock_guard lock(this->mutex);
         response.set("Lilactiller-Attachment", std::to_string(++execution->attachments));
         ++execution->attached;
-        cuts_seen = this->disconnect_count;
+        seen_disconnect_count = this->disconnect_count;
     }
     response.setContentType("text/event-stream");
     response.setChunkedTransferEncoding(true);
@@ -356,7 +356,7 @@
         this->wait_while_frozen();
         {
             std::lock_guard lock(this->mutex);
-            if (this->disconnect_count != cuts_seen)
+            if (this->disconnect_count != seen_disconnect_count)
                 break;
         }
         if (!this->write_new_tokens(response, output, *execution, next_offset, is_done))
