--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -252,7 +252,7 @@
         execution->unattached_since = AK::BootClock::now();
         this->executions[generation] = execution;
         this->execution_of_key[execution->key] = execution;
-        this->begun.push_back(execution);
+        this->started_executions.push_back(execution);
         auto length = output_length(prompt, static_cast<i64>(body->getValue<Poco::UInt64>("maximum_output_tokens")));
         this->write_plan(*execution, length);
         this->engine.start({ execution->key, static_cast<i64>(prompt.size()) / bytes_per_token + 1, length,
@@ -469,7 +469,7 @@
 {
     std::lock_guard lock(this->mutex);
     std::string lines;
-    for (auto const& execution : this->begun)
+    for (auto const& execution : this->started_executions)
         lines += history_line(
             execution->name, execution->generation, execution->attempt, execution->is_finished, execution->tokens);
     return lines;
--- a/StandIns/FakeEngine/FakeEngine.h
+++ b/StandIns/FakeEngine/FakeEngine.h
@@ -101,7 +101,7 @@
     std::map<std::string, std::shared_ptr<Execution>> executions;
     std::map<u64, std::shared_ptr<Execution>> execution_of_key;
     std::map<std::string, u32> fenced_attempts;
-    std::vector<std::shared_ptr<Execution>> begun;
+    std::vector<std::shared_ptr<Execution>> started_executions;
     std::vector<std::string> adapters;
     std::vector<std::string> orders_done;
     u64 highest_epoch { 0 };
