--- a/StandIns/FakePlatform/FakePlatform.cpp
+++ b/StandIns/FakePlatform/FakePlatform.cpp
@@ -37,7 +37,7 @@
     this->host_lists.emplace_back(AK::BootClock::now() + this->host_list_lag, json);
 }
 
-PlatformFault FakePlatform::take_fault(Link& link)
+PlatformFault FakePlatform::consume_fault(Link& link)
 {
     std::lock_guard lock(this->mutex);
     auto fault = link.fault;
@@ -52,7 +52,7 @@
         this->serve_control(link, request, response);
         return;
     }
-    switch (this->take_fault(link)) {
+    switch (this->consume_fault(link)) {
     case PlatformFault::None:
         this->serve_data(request, response, false);
         return;
--- a/StandIns/FakePlatform/FakePlatform.h
+++ b/StandIns/FakePlatform/FakePlatform.h
@@ -53,7 +53,7 @@
     void serve_data(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse&, bool loses_answer);
     std::pair<int, std::string> handle(std::string const& path, Poco::Net::HTTPServerRequest&);
     std::string hosts_of(std::string const& failure_domain);
-    PlatformFault take_fault(Link&);
+    PlatformFault consume_fault(Link&);
 
     Platform::MemoryTable table;
     std::mutex mutex;
--- a/StandIns/FakeService/FakeService.cpp
+++ b/StandIns/FakeService/FakeService.cpp
@@ -24,7 +24,7 @@
     this->remaining = count;
 }
 
-ServiceFault FakeService::take_fault()
+ServiceFault FakeService::consume_fault()
 {
     std::lock_guard lock(this->mutex);
     auto current = this->fault;
@@ -57,7 +57,7 @@
         answer(response, 200, "{}");
         return;
     }
-    auto current = this->take_fault();
+    auto current = this->consume_fault();
     if (current == ServiceFault::TurnAway) {
         answer(response, 503, "{}", { { "Lilactiller-Not-Started", "busy" } });
         return;
--- a/StandIns/FakeService/FakeService.h
+++ b/StandIns/FakeService/FakeService.h
@@ -38,7 +38,7 @@
 
 private:
     void serve(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse&);
-    ServiceFault take_fault();
+    ServiceFault consume_fault();
 
     std::string name;
     std::string history_path;
