--- a/StandIns/FakePlatform/FakePlatform.cpp
+++ b/StandIns/FakePlatform/FakePlatform.cpp
@@ -59,7 +59,7 @@
     case PlatformFault::Unavailable:
         answer(response, 503, "{}");
         return;
-    case PlatformFault::LoseAnswers:
+    case PlatformFault::LoseResponses:
         this->serve_data(request, response, true);
         return;
     case PlatformFault::Cut:
@@ -77,7 +77,7 @@
     if (mode == "unavailable")
         return PlatformFault::Unavailable;
     if (mode == "lose_answers")
-        return PlatformFault::LoseAnswers;
+        return PlatformFault::LoseResponses;
     if (mode == "cut")
         return PlatformFault::Cut;
     if (mode == "slow")
--- a/StandIns/FakePlatform/FakePlatform.h
+++ b/StandIns/FakePlatform/FakePlatform.h
@@ -19,7 +19,7 @@
     /// Answers 503 and does nothing.
     Unavailable,
     /// Does what is asked, then hangs up without an answer.
-    LoseAnswers,
+    LoseResponses,
     /// Hangs up at once, as when the link is cut.
     Cut,
     /// Holds each request for a while, then serves it.
--- a/Tests/Promises/TestServiceCalls.cpp
+++ b/Tests/Promises/TestServiceCalls.cpp
@@ -95,7 +95,7 @@
 
     WHEN("the platform's response to the claim is lost")
     {
-        fleet.platform->set_fault(0, PlatformFault::LoseAnswers, 3);
+        fleet.platform->set_fault(0, PlatformFault::LoseResponses, 3);
         auto result = charge(fleet, "sale-3");
         THEN("it runs once or is not run")
         {
