--- a/StandIns/FakeService/FakeService.cpp
+++ b/StandIns/FakeService/FakeService.cpp
@@ -38,7 +38,7 @@
     if (mode == "turn_away")
         return ServiceFault::TurnAway;
     if (mode == "lose_answer")
-        return ServiceFault::LoseAnswer;
+        return ServiceFault::LoseResponse;
     if (mode == "hang_up_before")
         return ServiceFault::HangUpBefore;
     return ServiceFault::None;
@@ -73,7 +73,7 @@
         if (!this->history_path.empty())
             std::ofstream(this->history_path, std::ios::app) << this->executions.back() << '\n';
     }
-    if (current == ServiceFault::LoseAnswer)
+    if (current == ServiceFault::LoseResponse)
         hang_up(request);
     else
         answer(response, 200, "{\"path\":\"" + path + "\",\"status\":\"found\"}");
--- a/StandIns/FakeService/FakeService.h
+++ b/StandIns/FakeService/FakeService.h
@@ -18,7 +18,7 @@
     /// Turns the call away, saying that it was not started.
     TurnAway,
     /// Runs the call, then hangs up without an answer.
-    LoseAnswer,
+    LoseResponse,
     /// Hangs up without running the call.
     HangUpBefore,
 };
--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -136,7 +136,7 @@
     case Fault::Misdirected:
         exchange->respond(Http::Response(Http::Status::misdirected_request, Http::http_1_1));
         return true;
-    case Fault::LoseAnswer:
+    case Fault::LoseResponse:
         this->count_run(request);
         exchange->abort();
         return true;
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -30,7 +30,7 @@
         /// The address belongs to another runner.
         Misdirected,
         /// It runs, and the connection ends without an answer.
-        LoseAnswer,
+        LoseResponse,
         /// It runs, and the answer is a failure.
         Fail,
         /// It runs, and the answer carries no signature.
--- a/Tests/Platform/TestEndToEnd.cpp
+++ b/Tests/Platform/TestEndToEnd.cpp
@@ -47,7 +47,7 @@
     }
     WHEN("a new connection ends without a response")
     {
-        first.add_fault(Fault::LoseAnswer);
+        first.add_fault(Fault::LoseResponse);
         auto call = fixture.finished_call(HostFixture::request("/lookup/1", "a1"));
         THEN("the call may have run, and the runner is avoided at once")
         {
@@ -58,7 +58,7 @@
     WHEN("a persistent connection ends without a response")
     {
         fixture.finished_call(HostFixture::request("/lookup/1", "a1"));
-        first.add_fault(Fault::LoseAnswer);
+        first.add_fault(Fault::LoseResponse);
         auto call = fixture.finished_call(HostFixture::request("/lookup/1", "a2"));
         THEN("the runner may have closed it while it was idle, and is not avoided")
         {
@@ -153,8 +153,8 @@
     {
         auto& second = fixture.add_runner("lane-2", "lanes");
         fixture.until([&] { return fixture.log_has("subject=lane-2"); });
-        first.add_fault(Fault::LoseAnswer);
-        second.add_fault(Fault::LoseAnswer);
+        first.add_fault(Fault::LoseResponse);
+        second.add_fault(Fault::LoseResponse);
         auto call = fixture.finished_call(HostFixture::request("/lookup/1", "a4"));
         THEN("it is not sent again, and the response reports that it may have run")
         {
@@ -169,7 +169,7 @@
             REQUIRE(fixture.finished_call(HostFixture::request("/tariff/1", "b" + std::to_string(i)))->status == 200);
         auto& second = fixture.add_runner("lane-2", "lanes");
         fixture.until([&] { return fixture.log_has("subject=lane-2"); });
-        auto fault = GENERATE(Fault::LoseAnswer, Fault::Fail, Fault::Unsigned, Fault::NotRun, Fault::Misdirected);
+        auto fault = GENERATE(Fault::LoseResponse, Fault::Fail, Fault::Unsigned, Fault::NotRun, Fault::Misdirected);
         first.add_fault(fault);
         auto call = fixture.finished_call(HostFixture::request("/tariff/1", "a5"));
         if (first.received().size() == earlier_calls) // The other runner was chosen first.
--- a/Tests/Promises/TestServiceCalls.cpp
+++ b/Tests/Promises/TestServiceCalls.cpp
@@ -39,7 +39,7 @@
     WHEN("the response is lost after it ran")
     {
         for (auto& service : fleet.services)
-            service->set_fault(ServiceFault::LoseAnswer);
+            service->set_fault(ServiceFault::LoseResponse);
         auto result = charge(fleet);
         CHECK(result.outcome == "may_have_run");
         CHECK(result.status == 502);
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -422,7 +422,7 @@
 
 void FaultSchedule::corrupt_responses()
 {
-    static constexpr std::array faults { Fault::NotRun, Fault::Misdirected, Fault::LoseAnswer, Fault::Fail,
+    static constexpr std::array faults { Fault::NotRun, Fault::Misdirected, Fault::LoseResponse, Fault::Fail,
         Fault::Unsigned, Fault::Hang };
     auto* instance = this->draw_runner();
     if (!instance)
