--- a/StandIns/FakePlatform/FakePlatform.cpp
+++ b/StandIns/FakePlatform/FakePlatform.cpp
@@ -62,7 +62,7 @@
     case PlatformFault::LoseResponses:
         this->serve_data(request, response, true);
         return;
-    case PlatformFault::Cut:
+    case PlatformFault::Disconnect:
         hang_up(request);
         return;
     case PlatformFault::Slow:
@@ -79,7 +79,7 @@
     if (mode == "lose_answers")
         return PlatformFault::LoseResponses;
     if (mode == "cut")
-        return PlatformFault::Cut;
+        return PlatformFault::Disconnect;
     if (mode == "slow")
         return PlatformFault::Slow;
     return PlatformFault::None;
--- a/StandIns/FakePlatform/FakePlatform.h
+++ b/StandIns/FakePlatform/FakePlatform.h
@@ -21,7 +21,7 @@
     /// Does what is asked, then hangs up without an answer.
     LoseResponses,
     /// Hangs up at once, as when the link is cut.
-    Cut,
+    Disconnect,
     /// Holds each request for a while, then serves it.
     Slow,
 };
--- a/Tests/Promises/TestConfigurationSpread.cpp
+++ b/Tests/Promises/TestConfigurationSpread.cpp
@@ -47,7 +47,7 @@
 
     WHEN("the platform is unavailable")
     {
-        fleet.platform->set_fault(0, PlatformFault::Cut);
+        fleet.platform->set_fault(0, PlatformFault::Disconnect);
         THEN("callers are served on the last revision")
         {
             CHECK(fleet.caller().generate(0, "summary", "x [tokens=5]", 10s).outcome == "completed");
@@ -74,7 +74,7 @@
 SCENARIO("a host with neither platform nor peers reports that it is not ready")
 {
     TestFleet fleet({ .gateways = 1, .routers = 1 });
-    fleet.platform->set_fault(0, PlatformFault::Cut);
+    fleet.platform->set_fault(0, PlatformFault::Disconnect);
     fleet.gateways[0].reset();
     fleet.kill_router(0);
     fleet.start_gateway(0);
@@ -109,7 +109,7 @@
 SCENARIO("a domain without the platform gets the configuration from another domain")
 {
     TestFleet fleet({ .gateways = 1, .routers = 1 });
-    fleet.platform->set_fault(0, PlatformFault::Cut);
+    fleet.platform->set_fault(0, PlatformFault::Disconnect);
     auto isolated_router = fleet.start_remote_router();
     wait_until("the configuration", [&] {
         return isolated_router->on_loop(
