--- a/StandIns/FakeService/FakeService.cpp
+++ b/StandIns/FakeService/FakeService.cpp
@@ -36,7 +36,7 @@
 static ServiceFault parse_fault(std::string const& mode)
 {
     if (mode == "turn_away")
-        return ServiceFault::TurnAway;
+        return ServiceFault::Reject;
     if (mode == "lose_answer")
         return ServiceFault::LoseResponse;
     if (mode == "hang_up_before")
@@ -58,7 +58,7 @@
         return;
     }
     auto current = this->consume_fault();
-    if (current == ServiceFault::TurnAway) {
+    if (current == ServiceFault::Reject) {
         answer(response, 503, "{}", { { "Lilactiller-Not-Started", "busy" } });
         return;
     }
--- a/StandIns/FakeService/FakeService.h
+++ b/StandIns/FakeService/FakeService.h
@@ -16,7 +16,7 @@
 enum class ServiceFault : u8 {
     None,
     /// Turns the call away, saying that it was not started.
-    TurnAway,
+    Reject,
     /// Runs the call, then hangs up without an answer.
     LoseResponse,
     /// Hangs up without running the call.
--- a/Tests/Promises/TestServiceCalls.cpp
+++ b/Tests/Promises/TestServiceCalls.cpp
@@ -54,7 +54,7 @@
     }
     WHEN("a server rejects it")
     {
-        fleet.services[0]->set_fault(ServiceFault::TurnAway);
+        fleet.services[0]->set_fault(ServiceFault::Reject);
         THEN("another one runs it, once")
         {
             CHECK(charge(fleet).outcome == "completed");
@@ -64,7 +64,7 @@
     WHEN("every server rejects it")
     {
         for (auto& service : fleet.services)
-            service->set_fault(ServiceFault::TurnAway);
+            service->set_fault(ServiceFault::Reject);
         auto result = charge(fleet);
         CHECK(result.outcome == "not_run");
         CHECK(executions(fleet) == 0);
@@ -124,7 +124,7 @@
     WHEN("the call did not run")
     {
         for (auto& service : fleet.services)
-            service->set_fault(ServiceFault::TurnAway);
+            service->set_fault(ServiceFault::Reject);
         CHECK(charge(fleet, "sale-5").outcome == "not_run");
         for (auto& service : fleet.services)
             service->set_fault(ServiceFault::None);
