--- a/StandIns/FakeService/FakeService.cpp
+++ b/StandIns/FakeService/FakeService.cpp
@@ -40,7 +40,7 @@
     if (mode == "lose_answer")
         return ServiceFault::LoseResponse;
     if (mode == "hang_up_before")
-        return ServiceFault::HangUpBefore;
+        return ServiceFault::CloseBeforeRun;
     return ServiceFault::None;
 }
 
@@ -62,7 +62,7 @@
         answer(response, 503, "{}", { { "Lilactiller-Not-Started", "busy" } });
         return;
     }
-    if (current == ServiceFault::HangUpBefore) {
+    if (current == ServiceFault::CloseBeforeRun) {
         hang_up(request);
         return;
     }
--- a/StandIns/FakeService/FakeService.h
+++ b/StandIns/FakeService/FakeService.h
@@ -20,7 +20,7 @@
     /// Runs the call, then hangs up without an answer.
     LoseResponse,
     /// Hangs up without running the call.
-    HangUpBefore,
+    CloseBeforeRun,
 };
 
 /// A plain service that counts its executions. Any path but /control/ runs; the body that comes back names the path.
--- a/Tests/Promises/TestServiceCalls.cpp
+++ b/Tests/Promises/TestServiceCalls.cpp
@@ -48,7 +48,7 @@
     WHEN("the connection ends before it ran, which the gateway cannot know")
     {
         for (auto& service : fleet.services)
-            service->set_fault(ServiceFault::HangUpBefore);
+            service->set_fault(ServiceFault::CloseBeforeRun);
         CHECK(charge(fleet).outcome == "may_have_run");
         CHECK(executions(fleet) == 0);
     }
@@ -79,7 +79,7 @@
 SCENARIO("a lookup that may be repeated is repeated")
 {
     TestFleet fleet;
-    fleet.services[0]->set_fault(ServiceFault::HangUpBefore);
+    fleet.services[0]->set_fault(ServiceFault::CloseBeforeRun);
     CHECK(look_up(fleet).outcome == "completed");
     CHECK(executions(fleet) == 1);
 }
