--- a/StandIns/FakePlatform/FakePlatform.cpp
+++ b/StandIns/FakePlatform/FakePlatform.cpp
@@ -152,7 +152,7 @@
 }
 
 void FakePlatform::serve_data(
-    Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response, bool loses_answer)
+    Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response, bool loses_response)
 {
     auto path = path_of(request);
     {
@@ -160,7 +160,7 @@
         ++(request.getMethod() == "GET" ? this->reads : this->writes);
     }
     auto [status, body] = this->handle(path, request);
-    if (loses_answer)
+    if (loses_response)
         hang_up(request);
     else
         answer(response, status, body);
--- a/StandIns/FakePlatform/FakePlatform.h
+++ b/StandIns/FakePlatform/FakePlatform.h
@@ -50,7 +50,7 @@
 
     void serve(Link&, Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse&);
     void serve_control(Link&, Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse&);
-    void serve_data(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse&, bool loses_answer);
+    void serve_data(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse&, bool loses_response);
     std::pair<int, std::string> handle(std::string const& path, Poco::Net::HTTPServerRequest&);
     std::string hosts_of(std::string const& failure_domain);
     PlatformFault consume_fault(Link&);
