--- a/StandIns/Common/HttpStandIn.cpp
+++ b/StandIns/Common/HttpStandIn.cpp
@@ -103,7 +103,7 @@
     response.sendBuffer(body.data(), body.size());
 }
 
-void hang_up(Poco::Net::HTTPServerRequest& request)
+void close_connection(Poco::Net::HTTPServerRequest& request)
 {
     auto socket = dynamic_cast<Poco::Net::HTTPServerRequestImpl&>(request).detachSocket();
     socket.shutdown();
--- a/StandIns/Common/HttpStandIn.h
+++ b/StandIns/Common/HttpStandIn.h
@@ -40,6 +40,6 @@
 void answer(Poco::Net::HTTPServerResponse&, int status, std::string const& body,
     std::map<std::string, std::string> const& headers = {});
 /// Closes the connection without an answer.
-void hang_up(Poco::Net::HTTPServerRequest&);
+void close_connection(Poco::Net::HTTPServerRequest&);
 
 }
--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -368,7 +368,7 @@
         execution->unattached_since = AK::BootClock::now();
     }
     if (!is_done)
-        hang_up(request);
+        close_connection(request);
 }
 
 std::string FakeEngine::load_json(u64 after_cache_sequence)
--- a/StandIns/FakePlatform/FakePlatform.cpp
+++ b/StandIns/FakePlatform/FakePlatform.cpp
@@ -63,7 +63,7 @@
         this->serve_data(request, response, true);
         return;
     case PlatformFault::Disconnect:
-        hang_up(request);
+        close_connection(request);
         return;
     case PlatformFault::Slow:
         std::this_thread::sleep_for(slow_delay);
@@ -161,7 +161,7 @@
     }
     auto [status, body] = this->handle(path, request);
     if (loses_response)
-        hang_up(request);
+        close_connection(request);
     else
         answer(response, status, body);
 }
--- a/StandIns/FakeService/FakeService.cpp
+++ b/StandIns/FakeService/FakeService.cpp
@@ -63,7 +63,7 @@
         return;
     }
     if (current == ServiceFault::CloseBeforeRun) {
-        hang_up(request);
+        close_connection(request);
         return;
     }
     {
@@ -74,7 +74,7 @@
             std::ofstream(this->history_path, std::ios::app) << this->executions.back() << '\n';
     }
     if (current == ServiceFault::LoseResponse)
-        hang_up(request);
+        close_connection(request);
     else
         answer(response, 200, "{\"path\":\"" + path + "\",\"status\":\"found\"}");
 }
