--- a/StandIns/Common/HttpStandIn.cpp
+++ b/StandIns/Common/HttpStandIn.cpp
@@ -31,7 +31,7 @@
             this->handler(request, response);
         } catch (std::exception const& exception) {
             if (!response.sent())
-                answer(response, 400, std::string("the stand-in cannot read this request: ") + exception.what());
+                send_response(response, 400, std::string("the stand-in cannot read this request: ") + exception.what());
         }
     }
 
@@ -93,7 +93,7 @@
 
 std::string path_of(Poco::Net::HTTPServerRequest const& request) { return Poco::URI(request.getURI()).getPath(); }
 
-void answer(Poco::Net::HTTPServerResponse& response, int status, std::string const& body,
+void send_response(Poco::Net::HTTPServerResponse& response, int status, std::string const& body,
     std::map<std::string, std::string> const& headers)
 {
     response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status));
--- a/StandIns/Common/HttpStandIn.h
+++ b/StandIns/Common/HttpStandIn.h
@@ -37,7 +37,7 @@
 std::string read_body(Poco::Net::HTTPServerRequest&);
 std::map<std::string, std::string> query_of(Poco::Net::HTTPServerRequest const&);
 std::string path_of(Poco::Net::HTTPServerRequest const&);
-void answer(Poco::Net::HTTPServerResponse&, int status, std::string const& body,
+void send_response(Poco::Net::HTTPServerResponse&, int status, std::string const& body,
     std::map<std::string, std::string> const& headers = {});
 /// Closes the connection without an answer.
 void close_connection(Poco::Net::HTTPServerRequest&);
--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -162,12 +162,12 @@
     auto path = path_of(request);
     constexpr std::string_view control_prefix = "/control/";
     if (path == "/control/history") {
-        answer(response, 200, this->history());
+        send_response(response, 200, this->history());
         return;
     }
     if (path.starts_with(control_prefix)) {
         this->control(path.substr(control_prefix.size()), query_of(request));
-        answer(response, 200, "{}");
+        send_response(response, 200, "{}");
         return;
     }
     this->wait_while_frozen();
@@ -186,7 +186,7 @@
     } else if (path == "/v1/orders") {
         this->serve_order(request, response);
     } else {
-        answer(response, 404, "{}");
+        send_response(response, 404, "{}");
     }
 }
 
@@ -231,12 +231,12 @@
     {
         std::lock_guard lock(this->mutex);
         if (this->is_leaving) {
-            answer(response, 503, "{}", { { "Lilactiller-Not-Started", "leaving" } });
+            send_response(response, 503, "{}", { { "Lilactiller-Not-Started", "leaving" } });
             return;
         }
         auto& fenced = this->fenced_attempts[generation];
         if (attempt <= fenced) {
-            answer(response, 409, "{}", { { "Lilactiller-Not-Started", "fenced" } });
+            send_response(response, 409, "{}", { { "Lilactiller-Not-Started", "fenced" } });
             return;
         }
         fenced = attempt;
@@ -274,7 +274,7 @@
             execution = found->second;
     }
     if (!execution) {
-        answer(response, 404, "{}");
+        send_response(response, 404, "{}");
         return;
     }
     this->stream(request, response, execution, std::stoull(query["next_offset"]));
@@ -297,7 +297,7 @@
             this->notify_change();
         }
     }
-    answer(response, 200, "{}");
+    send_response(response, 200, "{}");
 }
 
 bool FakeEngine::write_new_tokens(
@@ -414,7 +414,7 @@
     auto query = query_of(request);
     auto after = query["after_cache_sequence"].empty() ? 0 : std::stoull(query["after_cache_sequence"]);
     std::lock_guard lock(this->mutex);
-    answer(response, 200, this->load_json(after));
+    send_response(response, 200, this->load_json(after));
 }
 
 void FakeEngine::serve_order(Request& request, Response& response)
@@ -426,7 +426,7 @@
     std::lock_guard lock(this->mutex);
     auto is_older = std::pair<u64, u64>(epoch, revision) < std::pair(this->highest_epoch, this->highest_revision);
     if (this->options.checks_epochs && is_older) {
-        answer(response, 409, "{}");
+        send_response(response, 409, "{}");
         return;
     }
     this->highest_epoch = epoch;
@@ -436,7 +436,7 @@
     for (unsigned i = 0; i < names->size(); ++i)
         this->adapters.push_back(names->getElement<std::string>(i));
     this->orders_done.push_back(std::to_string(epoch) + ':' + std::to_string(revision));
-    answer(response, 200, "{}");
+    send_response(response, 200, "{}");
 }
 
 static std::string history_line(std::string const& name, std::string const& generation, u32 attempt, bool is_finished,
--- a/StandIns/FakePlatform/FakePlatform.cpp
+++ b/StandIns/FakePlatform/FakePlatform.cpp
@@ -57,7 +57,7 @@
         this->serve_data(request, response, false);
         return;
     case PlatformFault::Unavailable:
-        answer(response, 503, "{}");
+        send_response(response, 503, "{}");
         return;
     case PlatformFault::LoseResponses:
         this->serve_data(request, response, true);
@@ -98,11 +98,11 @@
         this->set_hosts(read_body(request));
     } else if (path == "/control/counts") {
         std::lock_guard lock(this->mutex);
-        answer(response, 200,
+        send_response(response, 200,
             "{\"reads\":" + std::to_string(this->reads) + ",\"writes\":" + std::to_string(this->writes) + "}");
         return;
     }
-    answer(response, 200, "{}");
+    send_response(response, 200, "{}");
 }
 
 std::string FakePlatform::hosts_of(std::string const& failure_domain)
@@ -163,7 +163,7 @@
     if (loses_response)
         close_connection(request);
     else
-        answer(response, status, body);
+        send_response(response, status, body);
 }
 
 }
--- a/StandIns/FakeService/FakeService.cpp
+++ b/StandIns/FakeService/FakeService.cpp
@@ -48,18 +48,18 @@
 {
     auto path = path_of(request);
     if (path == "/control/history") {
-        answer(response, 200, this->history());
+        send_response(response, 200, this->history());
         return;
     }
     if (path == "/control/fault") {
         auto query = query_of(request);
         this->set_fault(parse_fault(query["mode"]), query["count"].empty() ? 0 : std::stoull(query["count"]));
-        answer(response, 200, "{}");
+        send_response(response, 200, "{}");
         return;
     }
     auto current = this->consume_fault();
     if (current == ServiceFault::Reject) {
-        answer(response, 503, "{}", { { "Lilactiller-Not-Started", "busy" } });
+        send_response(response, 503, "{}", { { "Lilactiller-Not-Started", "busy" } });
         return;
     }
     if (current == ServiceFault::CloseBeforeRun) {
@@ -76,7 +76,7 @@
     if (current == ServiceFault::LoseResponse)
         close_connection(request);
     else
-        answer(response, 200, "{\"path\":\"" + path + "\",\"status\":\"found\"}");
+        send_response(response, 200, "{\"path\":\"" + path + "\",\"status\":\"found\"}");
 }
 
 std::string FakeService::history()
