--- a/StandIns/Common/HttpStandIn.cpp
+++ b/StandIns/Common/HttpStandIn.cpp
@@ -14,7 +14,7 @@
 
 namespace StandIns {
 
-static constexpr int most_threads = 600;
+static constexpr int max_threads = 600;
 static constexpr int thread_stack_bytes = 256 * 1024;
 static constexpr int listen_backlog = 256;
 
@@ -56,13 +56,13 @@
 };
 
 HttpStandIn::HttpStandIn(Address const& listen, HttpHandler handler)
-    : threads(2, most_threads, 60, thread_stack_bytes)
+    : threads(2, max_threads, 60, thread_stack_bytes)
 {
     Poco::Net::ServerSocket socket;
     socket.bind(Poco::Net::SocketAddress(listen.value()), true);
     socket.listen(listen_backlog);
     auto* parameters = new Poco::Net::HTTPServerParams;
-    parameters->setMaxThreads(most_threads);
+    parameters->setMaxThreads(max_threads);
     parameters->setMaxQueued(listen_backlog);
     parameters->setKeepAlive(false);
     this->server = std::make_unique<Poco::Net::HTTPServer>(
