--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -61,7 +61,7 @@
     /// Where hosts and other engines are told to reach it, if that is not where it listens.
     void announce_as(std::string address) { this->announced = std::move(address); }
     /// Requests whose body is this one end its process as soon as they run.
-    void set_ended_by(std::string body) { this->ended_by = std::move(body); }
+    void set_fatal_body(std::string body) { this->ended_by = std::move(body); }
     /// What its answers name as the requests a second that it takes from all hosts; nothing for none.
     void set_limit(std::optional<std::string> per_second) { this->limit = std::move(per_second); }
     /// While set it turns every request away as not run and asks the sender for back-off: the value of Retry-After.
--- a/Tests/Hosts/TestRequestsThatEndServers.cpp
+++ b/Tests/Hosts/TestRequestsThatEndServers.cpp
@@ -30,7 +30,7 @@
         for (int i = 0; i < 24; ++i) {
             auto const domain = "hall-" + std::string(1, static_cast<char>('a' + i % 2));
             auto& runner = this->hosts.platform.add_runner("r" + std::to_string(i), this->service, domain);
-            runner.set_ended_by(fatal_body);
+            runner.set_fatal_body(fatal_body);
             runner.planned_events = [](std::string const&) { return u64(1); };
         }
         this->hosts.start();
