--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -161,7 +161,7 @@
 {
     auto const& request = exchange->request();
     this->count_run(request);
-    if (this->ended_by == request.body())
+    if (this->fatal_body == request.body())
         return this->end_under(exchange);
     auto const events_before = this->take_copy(request);
     if (!events_before)
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -61,7 +61,7 @@
     /// Where hosts and other engines are told to reach it, if that is not where it listens.
     void announce_as(std::string address) { this->announced = std::move(address); }
     /// Requests whose body is this one end its process as soon as they run.
-    void set_fatal_body(std::string body) { this->ended_by = std::move(body); }
+    void set_fatal_body(std::string body) { this->fatal_body = std::move(body); }
     /// What its answers name as the requests a second that it takes from all hosts; nothing for none.
     void set_limit(std::optional<std::string> per_second) { this->limit = std::move(per_second); }
     /// While set it turns every request away as not run and asks the sender for back-off: the value of Retry-After.
@@ -145,7 +145,7 @@
     /// By handle: the events made when the copy was taken, here as the target or the source.
     std::map<std::string, u64> copies;
     bool has_ended { false };
-    std::optional<std::string> ended_by;
+    std::optional<std::string> fatal_body;
     std::optional<std::string> limit;
     std::optional<std::string> back_off;
     bool says_it_leaves { false };
