--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -162,7 +162,7 @@
     auto const& request = exchange->request();
     this->count_run(request);
     if (this->fatal_body == request.body())
-        return this->end_under(exchange);
+        return this->terminate_during(exchange);
     auto const events_before = this->take_copy(request);
     if (!events_before)
         return exchange->respond(this->signed_answer(request, Http::Status::service_unavailable));
@@ -254,7 +254,7 @@
 }
 
 /// A generation's answer has begun by then; its first event never comes.
-void PlatformRunner::end_under(std::shared_ptr<Http::Exchange> const& exchange)
+void PlatformRunner::terminate_during(std::shared_ptr<Http::Exchange> const& exchange)
 {
     if (exchange->request().count(usage_header) > 0)
         this->begin_generation(exchange, 0);
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -127,7 +127,7 @@
     /// How many events the request's run has behind it; nothing when the copy that it goes on from is not here.
     std::optional<u64> take_copy(Http::Request const&);
     void begin_generation(std::shared_ptr<Http::Exchange> const&, u64 events_before);
-    void end_under(std::shared_ptr<Http::Exchange> const&);
+    void terminate_during(std::shared_ptr<Http::Exchange> const&);
     void copy(Http::Exchange&);
     void answer_report(Http::Exchange&);
     void answer_plain(std::shared_ptr<Http::Exchange> const&, Http::Response);
