--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -158,7 +158,7 @@
             run_with_events(50ms);
             servers.accept_again(1);
             REQUIRE(servers.back_off_count() == 1);
-            source.end();
+            source.terminate();
             run_with_events(500ms);
             CHECK(target.running_count() == 0);
             run_with_events(900ms);
@@ -173,7 +173,7 @@
         WHEN("the first engine terminates, and the other one rejects the resumed generations")
         {
             servers.reject_all(1, 600ms);
-            source.end();
+            source.terminate();
             run_with_events(200ms);
             servers.accept_again(1);
             REQUIRE(servers.back_off_count() == 2);
--- a/Tests/Platform/TestEndToEnd.cpp
+++ b/Tests/Platform/TestEndToEnd.cpp
@@ -187,7 +187,7 @@
     }
     WHEN("a runner terminates")
     {
-        first.end();
+        first.terminate();
         auto call = fixture.finished_call(HostFixture::request("/lookup/1", "a8"));
         THEN("a call that reached no runner has not run") { CHECK(call->status == 503); }
     }
--- a/Tests/Platform/TestGenerations.cpp
+++ b/Tests/Platform/TestGenerations.cpp
@@ -49,7 +49,7 @@
     {
         engine.make_events();
         fixture.until([&] { return call->event_count() == 1; });
-        engine.end();
+        engine.terminate();
         fixture.until([&] { return call->is_over(); });
         THEN("the stream ends as truncated")
         {
@@ -172,7 +172,7 @@
         fixture.until([&] { return fixture.log_has("subject=engine-1 state=leaving"); });
         old_engine.make_events();
         fixture.until([&] { return fixture.log_has("event=E2109 generation_copied subject=g3"); });
-        old_engine.end();
+        old_engine.terminate();
         THEN("the generation resumes from the first copy")
         {
             finish();
@@ -181,7 +181,7 @@
     }
     WHEN("the target engine has terminated, and the list still has it")
     {
-        new_engine.end();
+        new_engine.terminate();
         fixture.drain(old_engine);
         fixture.until([&] { return fixture.log_has("subject=engine-1 state=leaving"); });
         old_engine.make_events();
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -261,7 +261,7 @@
 {
     instance.is_terminated = true;
     instance.terminated_at = now();
-    instance.runner->end();
+    instance.runner->terminate();
     instance.link->reset_all();
     this->checker.record_running(instance.id, {}, false, now());
 }
