--- a/Tests/Hosts/TestRequestsThatEndServers.cpp
+++ b/Tests/Hosts/TestRequestsThatEndServers.cpp
@@ -54,8 +54,8 @@
 
     [[nodiscard]] u32 terminated() const
     {
-        return static_cast<u32>(
-            std::ranges::count_if(this->hosts.platform.runners, [](auto const& runner) { return runner.is_over(); }));
+        return static_cast<u32>(std::ranges::count_if(
+            this->hosts.platform.runners, [](auto const& runner) { return runner.is_terminated(); }));
     }
 
     HostGroup hosts { { "hall-a", "hall-a", "hall-b" } };
