--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -91,7 +91,7 @@
     /// What /report says of the time that is left; nothing if it does not leave.
     void set_leaves_in(std::optional<u64> milliseconds) { this->leaves_in = milliseconds; }
 
-    [[nodiscard]] bool is_over() const { return this->has_ended; }
+    [[nodiscard]] bool is_terminated() const { return this->has_ended; }
     [[nodiscard]] std::vector<Received> const& received() const { return this->requests; }
     /// Attempts whose memory was to be copied, in the order in which that was asked for.
     [[nodiscard]] std::vector<std::string> const& copy_orders() const { return this->ordered_copies; }
