--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -243,7 +243,7 @@
 
 void PlatformRunner::end()
 {
-    this->has_ended = true;
+    this->terminated = true;
     this->server->stop_accepting();
     this->server->close_idle_connections(Http::CloseReason::PlannedStop);
     auto ending = std::exchange(this->generations, {});
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -81,7 +81,7 @@
     /// Takes a copy that another engine made after so many events; false once its process has ended.
     bool receive_copy(std::string const& handle, u64 events_made)
     {
-        if (this->has_ended)
+        if (this->terminated)
             return false;
         this->copies[handle] = events_made;
         return true;
@@ -91,7 +91,7 @@
     /// What /report says of the time that is left; nothing if it does not leave.
     void set_leaves_in(std::optional<u64> milliseconds) { this->leaves_in = milliseconds; }
 
-    [[nodiscard]] bool is_terminated() const { return this->has_ended; }
+    [[nodiscard]] bool is_terminated() const { return this->terminated; }
     [[nodiscard]] std::vector<Received> const& received() const { return this->requests; }
     /// Attempts whose memory was to be copied, in the order in which that was asked for.
     [[nodiscard]] std::vector<std::string> const& copy_orders() const { return this->ordered_copies; }
@@ -144,7 +144,7 @@
     std::map<std::string, Generation> generations;
     /// By handle: the events made when the copy was taken, here as the target or the source.
     std::map<std::string, u64> copies;
-    bool has_ended { false };
+    bool terminated { false };
     std::optional<std::string> fatal_body;
     std::optional<std::string> limit;
     std::optional<std::string> back_off;
