--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -70,7 +70,7 @@
     std::function<void(Received const&)> on_turned_away;
     /// Whether all its answers say that it leaves.
     void say_it_leaves(bool says_so) { this->says_it_leaves = says_so; }
-    [[nodiscard]] bool is_saying_it_leaves() const { return this->says_it_leaves; }
+    [[nodiscard]] bool is_announcing_leaving() const { return this->says_it_leaves; }
     /// Plain answers are this long in the making.
     void set_work_time(Duration duration) { this->work_time = duration; }
     /// Breaks every connection and takes no more, as a process that ends does.
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -226,7 +226,7 @@
     auto const host = this->checker.host_of(attempt);
     if (auto const violation = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
         this->checker.violation(*violation + " (" + attempt + ')');
-    if (instance.runner->is_saying_it_leaves() && !instance.corrupts_responses)
+    if (instance.runner->is_announcing_leaving() && !instance.corrupts_responses)
         this->notices.record_leaving(instance.id, host, now());
 }
 
