--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -69,7 +69,7 @@
     /// Told of each request that is turned away so.
     std::function<void(Received const&)> on_turned_away;
     /// Whether all its answers say that it leaves.
-    void say_it_leaves(bool says_so) { this->says_it_leaves = says_so; }
+    void announce_leaving(bool says_so) { this->says_it_leaves = says_so; }
     [[nodiscard]] bool is_announcing_leaving() const { return this->says_it_leaves; }
     /// Plain answers are this long in the making.
     void set_work_time(Duration duration) { this->work_time = duration; }
--- a/Tests/Hosts/TestServersThatSayTheyLeave.cpp
+++ b/Tests/Hosts/TestServersThatSayTheyLeave.cpp
@@ -17,7 +17,7 @@
 
     void announce_leaving(size_t server)
     {
-        this->runners[server]->say_it_leaves(true);
+        this->runners[server]->announce_leaving(true);
         this->announced_at[server] = AK::BootClock::now();
     }
 
@@ -111,7 +111,7 @@
     {
         servers.announce_leaving(0);
         servers.apply_load(300ms);
-        servers.runners[0]->say_it_leaves(false);
+        servers.runners[0]->announce_leaving(false);
         servers.runners[0]->set_start(1'790'000'500'000);
         servers.hosts.platform.store.put(
             "servers", servers.runners[0]->id(), servers.runners[0]->row("lanes", LoadedServers::domain_of(0)));
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -244,7 +244,7 @@
 void Deployment::drain(RunnerInstance& instance, Duration time_left)
 {
     instance.leaving_since = now();
-    instance.runner->say_it_leaves(true);
+    instance.runner->announce_leaving(true);
     instance.runner->set_leaves_in(static_cast<u64>(AK::to_milliseconds(time_left)));
     this->put_row(instance);
 }
@@ -253,7 +253,7 @@
 {
     if (!instance.leaving_since)
         instance.leaving_since = now();
-    instance.runner->say_it_leaves(true);
+    instance.runner->announce_leaving(true);
     this->store.remove(servers_table, instance.id);
 }
 
