--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -66,7 +66,7 @@
 
 void PlatformRunner::put_notice(Http::Response& response) const
 {
-    if (this->says_it_leaves)
+    if (this->announces_leaving)
         response.set("Server-Leaving", "1");
 }
 
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -69,8 +69,8 @@
     /// Told of each request that is turned away so.
     std::function<void(Received const&)> on_turned_away;
     /// Whether all its answers say that it leaves.
-    void announce_leaving(bool says_so) { this->says_it_leaves = says_so; }
-    [[nodiscard]] bool is_announcing_leaving() const { return this->says_it_leaves; }
+    void announce_leaving(bool says_so) { this->announces_leaving = says_so; }
+    [[nodiscard]] bool is_announcing_leaving() const { return this->announces_leaving; }
     /// Plain answers are this long in the making.
     void set_work_time(Duration duration) { this->work_time = duration; }
     /// Breaks every connection and takes no more, as a process that ends does.
@@ -148,7 +148,7 @@
     std::optional<std::string> fatal_body;
     std::optional<std::string> limit;
     std::optional<std::string> back_off;
-    bool says_it_leaves { false };
+    bool announces_leaving { false };
     i64 start { 1'790'000'000'000 };
     std::vector<std::string> ordered_copies;
     std::optional<u64> leaves_in;
