--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -144,7 +144,7 @@
     auto const endpoint = Test::free_endpoint();
     instance.link = std::make_unique<FaultProxy>(this->loop, Test::free_endpoint(), endpoint);
     instance.runner = std::make_unique<StandIn::PlatformRunner>(this->loop, endpoint, instance.id);
-    instance.runner->announce_as(Test::text_of(instance.link->endpoint()));
+    instance.runner->set_advertised_address(Test::text_of(instance.link->endpoint()));
     instance.runner->planned_events = PromiseChecker::planned_events;
     instance.runner->set_work_time(plain_work_time);
     instance.runner->on_received = [this, &instance](auto const& received) {
