--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -37,8 +37,8 @@
 
 std::string PlatformRunner::address() const
 {
-    if (!this->announced.empty())
-        return this->announced;
+    if (!this->advertised_address.empty())
+        return this->advertised_address;
     std::ostringstream text;
     text << this->endpoint;
     return text.str();
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -59,7 +59,7 @@
     /// Told of each request that names this runner, before it runs or is refused.
     std::function<void(Received const&)> on_received;
     /// Where hosts and other engines are told to reach it, if that is not where it listens.
-    void set_advertised_address(std::string address) { this->announced = std::move(address); }
+    void set_advertised_address(std::string address) { this->advertised_address = std::move(address); }
     /// Requests whose body is this one end its process as soon as they run.
     void set_fatal_body(std::string body) { this->fatal_body = std::move(body); }
     /// What its answers name as the requests a second that it takes from all hosts; nothing for none.
@@ -136,7 +136,7 @@
     Http::asio::io_context& loop;
     std::string name;
     Http::tcp::endpoint endpoint;
-    std::string announced;
+    std::string advertised_address;
     Duration work_time { 0 };
     std::deque<Fault> faults;
     std::vector<Received> requests;
