--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -24,12 +24,12 @@
     void reject_all(size_t server, Duration span)
     {
         auto& runner = *this->runners[server];
-        runner.turn_away(std::to_string(AK::to_seconds(span)));
+        runner.reject_requests(std::to_string(AK::to_seconds(span)));
         runner.on_turned_away = [this, server, span](PlatformRunner::Received const& received) {
             this->back_offs.push_back({ server, host_of(received.attempt), AK::BootClock::now(), span });
         };
     }
-    void accept_again(size_t server) { this->runners[server]->turn_away({}); }
+    void accept_again(size_t server) { this->runners[server]->reject_requests({}); }
 
     /// Over all responses that requested back-off: the maximum number of requests that the receiving host sent to the
     /// server during the back-off.
@@ -139,11 +139,11 @@
                 runner->make_events();
         }
     };
-    target.turn_away("0.1");
+    target.reject_requests("0.1");
     servers.send(0);
     servers.send(0);
     run_with_events(200ms);
-    target.turn_away({});
+    target.reject_requests({});
     REQUIRE(source.running_count() == 2);
     GIVEN("an engine that leaves, with its generations copied to another one")
     {
--- a/Tests/Hosts/TestServersThatSayTheyLeave.cpp
+++ b/Tests/Hosts/TestServersThatSayTheyLeave.cpp
@@ -71,9 +71,9 @@
     GIVEN("a server that announces it in a response that refuses a call")
     {
         servers.announce_leaving(0);
-        servers.runners[0]->turn_away("0.1");
+        servers.runners[0]->reject_requests("0.1");
         servers.apply_load(300ms);
-        servers.runners[0]->turn_away({});
+        servers.runners[0]->reject_requests({});
         servers.apply_load(1500ms);
         THEN("it gets no new work after the drain time")
         {
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -210,14 +210,14 @@
 
 void Deployment::reject_all(RunnerInstance& instance, Duration back_off)
 {
-    instance.runner->turn_away(std::to_string(AK::to_seconds(back_off)));
+    instance.runner->reject_requests(std::to_string(AK::to_seconds(back_off)));
     instance.runner->on_turned_away = [this, &instance, back_off](auto const& received) {
         if (now() >= instance.affected_until)
             this->notices.record_back_off(instance.id, this->checker.host_of(received.attempt), back_off, now());
     };
 }
 
-void Deployment::accept_again(RunnerInstance& instance) { instance.runner->turn_away({}); }
+void Deployment::accept_again(RunnerInstance& instance) { instance.runner->reject_requests({}); }
 
 void Deployment::check_notices(RunnerInstance const& instance, std::string const& attempt)
 {
