--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -65,7 +65,7 @@
     /// What its answers name as the requests a second that it takes from all hosts; nothing for none.
     void set_limit(std::optional<std::string> per_second) { this->limit = std::move(per_second); }
     /// While set it turns every request away as not run and asks the sender for back-off: the value of Retry-After.
-    void turn_away(std::optional<std::string> retry_after) { this->back_off = std::move(retry_after); }
+    void reject_requests(std::optional<std::string> retry_after) { this->back_off = std::move(retry_after); }
     /// Told of each request that is turned away so.
     std::function<void(Received const&)> on_turned_away;
     /// Whether all its answers say that it leaves.
