--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -107,8 +107,8 @@
         this->on_received(this->requests.back());
     if (this->back_off) {
         exchange->respond(this->refusal());
-        if (this->on_turned_away)
-            this->on_turned_away(this->requests.back());
+        if (this->on_rejected)
+            this->on_rejected(this->requests.back());
         return;
     }
     if (!this->carry_out_fault(exchange))
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -67,7 +67,7 @@
     /// While set it turns every request away as not run and asks the sender for back-off: the value of Retry-After.
     void reject_requests(std::optional<std::string> retry_after) { this->back_off = std::move(retry_after); }
     /// Told of each request that is turned away so.
-    std::function<void(Received const&)> on_turned_away;
+    std::function<void(Received const&)> on_rejected;
     /// Whether all its answers say that it leaves.
     void announce_leaving(bool says_so) { this->announces_leaving = says_so; }
     [[nodiscard]] bool is_announcing_leaving() const { return this->announces_leaving; }
--- a/Tests/Hosts/TestServersThatAskForBackOff.cpp
+++ b/Tests/Hosts/TestServersThatAskForBackOff.cpp
@@ -25,7 +25,7 @@
     {
         auto& runner = *this->runners[server];
         runner.reject_requests(std::to_string(AK::to_seconds(span)));
-        runner.on_turned_away = [this, server, span](PlatformRunner::Received const& received) {
+        runner.on_rejected = [this, server, span](PlatformRunner::Received const& received) {
             this->back_offs.push_back({ server, host_of(received.attempt), AK::BootClock::now(), span });
         };
     }
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -211,7 +211,7 @@
 void Deployment::reject_all(RunnerInstance& instance, Duration back_off)
 {
     instance.runner->reject_requests(std::to_string(AK::to_seconds(back_off)));
-    instance.runner->on_turned_away = [this, &instance, back_off](auto const& received) {
+    instance.runner->on_rejected = [this, &instance, back_off](auto const& received) {
         if (now() >= instance.affected_until)
             this->notices.record_back_off(instance.id, this->checker.host_of(received.attempt), back_off, now());
     };
