--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -80,7 +80,7 @@
     return response;
 }
 
-void PlatformRunner::note(Http::Request const& request)
+void PlatformRunner::record_request(Http::Request const& request)
 {
     Received received { std::string(request[attempt_header]), std::string(request.target()), request.body(), {} };
     for (auto const& field : request)
@@ -97,7 +97,7 @@
         return this->copy(*exchange);
     if (request.target().starts_with("/kv-handle/"))
         return exchange->respond(Http::Response(Http::Status::ok, Http::http_1_1));
-    this->note(request);
+    this->record_request(request);
     if (request[target_header] != this->name) {
         Http::Response response(Http::Status::misdirected_request, Http::http_1_1);
         response.set(instance_header, this->name);
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -117,7 +117,7 @@
     };
 
     void take(std::shared_ptr<Http::Exchange> const&);
-    void note(Http::Request const&);
+    void record_request(Http::Request const&);
     void count_run(Http::Request const&);
     bool carry_out_fault(std::shared_ptr<Http::Exchange> const&);
     [[nodiscard]] Http::Response refusal() const;
