--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -31,7 +31,7 @@
     , endpoint(endpoint)
 {
     auto context = std::make_shared<Http::CallerContext>();
-    context->on_request = [this](std::shared_ptr<Http::Exchange> const& exchange) { this->take(exchange); };
+    context->on_request = [this](std::shared_ptr<Http::Exchange> const& exchange) { this->handle_request(exchange); };
     this->server.emplace(loop, endpoint, context);
 }
 
@@ -88,7 +88,7 @@
     this->requests.push_back(std::move(received));
 }
 
-void PlatformRunner::take(std::shared_ptr<Http::Exchange> const& exchange)
+void PlatformRunner::handle_request(std::shared_ptr<Http::Exchange> const& exchange)
 {
     auto const& request = exchange->request();
     if (request.target() == "/report")
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -116,7 +116,7 @@
         u64 events_made { 0 };
     };
 
-    void take(std::shared_ptr<Http::Exchange> const&);
+    void handle_request(std::shared_ptr<Http::Exchange> const&);
     void record_request(Http::Request const&);
     void count_run(Http::Request const&);
     bool carry_out_fault(std::shared_ptr<Http::Exchange> const&);
--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -44,7 +44,8 @@
     : loop(loop)
     , server(loop, endpoint, [this] {
         auto context = std::make_shared<Http::CallerContext>();
-        context->on_request = [this](std::shared_ptr<Http::Exchange> const& exchange) { this->take(exchange); };
+        context->on_request
+            = [this](std::shared_ptr<Http::Exchange> const& exchange) { this->handle_request(exchange); };
         return context;
     }())
 {
@@ -105,7 +106,7 @@
     exchange.respond(std::move(response));
 }
 
-void PlatformStore::take(std::shared_ptr<Http::Exchange> const& exchange)
+void PlatformStore::handle_request(std::shared_ptr<Http::Exchange> const& exchange)
 {
     ++this->calls;
     if (this->mode == Mode::Silent) {
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -54,7 +54,7 @@
         std::shared_ptr<AK::Timer> timer;
     };
 
-    void take(std::shared_ptr<Http::Exchange> const&);
+    void handle_request(std::shared_ptr<Http::Exchange> const&);
     void answer_rows(Http::Exchange&, std::string const& table, std::string const& from);
     void follow(std::shared_ptr<Http::Exchange> const&, std::string const& table, u64 after, u64 wait_milliseconds);
     void commit(Http::Exchange&);
