--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -163,7 +163,7 @@
     this->count_run(request);
     if (this->fatal_body == request.body())
         return this->terminate_during(exchange);
-    auto const events_before = this->take_copy(request);
+    auto const events_before = this->consume_copy(request);
     if (!events_before)
         return exchange->respond(this->signed_answer(request, Http::Status::service_unavailable));
     if (request.count(usage_header) > 0)
@@ -173,7 +173,7 @@
     this->answer_plain(exchange, std::move(response));
 }
 
-std::optional<u64> PlatformRunner::take_copy(Http::Request const& request)
+std::optional<u64> PlatformRunner::consume_copy(Http::Request const& request)
 {
     if (request.count(copy_header) == 0)
         return 0;
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -125,7 +125,7 @@
     void put_notice(Http::Response&) const;
     void run(std::shared_ptr<Http::Exchange> const&);
     /// How many events the request's run has behind it; nothing when the copy that it goes on from is not here.
-    std::optional<u64> take_copy(Http::Request const&);
+    std::optional<u64> consume_copy(Http::Request const&);
     void begin_generation(std::shared_ptr<Http::Exchange> const&, u64 events_before);
     void terminate_during(std::shared_ptr<Http::Exchange> const&);
     void copy(Http::Exchange&);
