--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -60,11 +60,11 @@
     response.set("Lilactiller-Server-Load", "1,0," + std::to_string(slots));
     if (this->limit)
         response.set("Server-Limit", *this->limit);
-    this->put_notice(response);
+    this->set_leaving_header(response);
     return response;
 }
 
-void PlatformRunner::put_notice(Http::Response& response) const
+void PlatformRunner::set_leaving_header(Http::Response& response) const
 {
     if (this->announces_leaving)
         response.set("Server-Leaving", "1");
@@ -76,7 +76,7 @@
     response.set("Lilactiller-Not-Executed", "1");
     if (this->back_off)
         response.set(Http::Name::retry_after, *this->back_off);
-    this->put_notice(response);
+    this->set_leaving_header(response);
     return response;
 }
 
@@ -295,7 +295,7 @@
         report["leaves_ms"] = *this->leaves_in;
     }
     Http::Response response(Http::Status::ok, Http::http_1_1);
-    this->put_notice(response);
+    this->set_leaving_header(response);
     response.body() = Json::serialize(report);
     exchange.respond(std::move(response));
 }
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -122,7 +122,7 @@
     bool carry_out_fault(std::shared_ptr<Http::Exchange> const&);
     [[nodiscard]] Http::Response refusal() const;
     /// Puts in what all its answers say of it.
-    void put_notice(Http::Response&) const;
+    void set_leaving_header(Http::Response&) const;
     void run(std::shared_ptr<Http::Exchange> const&);
     /// How many events the request's run has behind it; nothing when the copy that it goes on from is not here.
     std::optional<u64> consume_copy(Http::Request const&);
