--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -52,7 +52,7 @@
     return Json::serialize(row);
 }
 
-Http::Response PlatformRunner::signed_answer(Http::Request const& request, Http::Status status) const
+Http::Response PlatformRunner::signed_response(Http::Request const& request, Http::Status status) const
 {
     Http::Response response(status, Http::http_1_1);
     response.set(attempt_header, request[attempt_header]);
@@ -142,7 +142,7 @@
         return true;
     case Fault::Fail:
         this->count_run(request);
-        exchange->respond(this->signed_answer(request, Http::Status::internal_server_error));
+        exchange->respond(this->signed_response(request, Http::Status::internal_server_error));
         return true;
     case Fault::Unsigned:
         this->count_run(request);
@@ -165,10 +165,10 @@
         return this->terminate_during(exchange);
     auto const events_before = this->consume_copy(request);
     if (!events_before)
-        return exchange->respond(this->signed_answer(request, Http::Status::service_unavailable));
+        return exchange->respond(this->signed_response(request, Http::Status::service_unavailable));
     if (request.count(usage_header) > 0)
         return this->begin_generation(exchange, *events_before);
-    auto response = this->signed_answer(request, Http::Status::ok);
+    auto response = this->signed_response(request, Http::Status::ok);
     response.body() = "answer to " + std::string(request.target());
     this->answer_plain(exchange, std::move(response));
 }
@@ -188,7 +188,7 @@
 {
     auto const& request = exchange->request();
     auto attempt = std::string(request[attempt_header]);
-    auto response = this->signed_answer(request, Http::Status::ok);
+    auto response = this->signed_response(request, Http::Status::ok);
     response.set(Http::Name::content_type, "text/event-stream");
     exchange->on_caller_disconnected([this, attempt] {
         this->generations.erase(attempt);
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -131,7 +131,7 @@
     void copy(Http::Exchange&);
     void answer_report(Http::Exchange&);
     void answer_plain(std::shared_ptr<Http::Exchange> const&, Http::Response);
-    Http::Response signed_answer(Http::Request const&, Http::Status) const;
+    Http::Response signed_response(Http::Request const&, Http::Status) const;
 
     Http::asio::io_context& loop;
     std::string name;
