--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -92,7 +92,7 @@
 {
     auto const& request = exchange->request();
     if (request.target() == "/report")
-        return this->answer_report(*exchange);
+        return this->send_report(*exchange);
     if (request.target() == "/kv-move")
         return this->copy(*exchange);
     if (request.target().starts_with("/kv-handle/"))
@@ -285,7 +285,7 @@
     exchange.respond(std::move(response));
 }
 
-void PlatformRunner::answer_report(Http::Exchange& exchange)
+void PlatformRunner::send_report(Http::Exchange& exchange)
 {
     Json::object report { { "born", this->start }, { "stage", "both" }, { "busy", false }, { "call_seq", 1 },
         { "waiting", 0 }, { "running", this->generations.size() }, { "kv_used", 0 }, { "kv_total", kv_tokens },
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -129,7 +129,7 @@
     void begin_generation(std::shared_ptr<Http::Exchange> const&, u64 events_before);
     void terminate_during(std::shared_ptr<Http::Exchange> const&);
     void copy(Http::Exchange&);
-    void answer_report(Http::Exchange&);
+    void send_report(Http::Exchange&);
     void answer_plain(std::shared_ptr<Http::Exchange> const&, Http::Response);
     Http::Response signed_response(Http::Request const&, Http::Status) const;
 
