--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -170,7 +170,7 @@
         return this->begin_generation(exchange, *events_before);
     auto response = this->signed_response(request, Http::Status::ok);
     response.body() = "answer to " + std::string(request.target());
-    this->answer_plain(exchange, std::move(response));
+    this->send_plain_response(exchange, std::move(response));
 }
 
 std::optional<u64> PlatformRunner::consume_copy(Http::Request const& request)
@@ -198,7 +198,7 @@
     this->generations[attempt] = { exchange, events_before };
 }
 
-void PlatformRunner::answer_plain(std::shared_ptr<Http::Exchange> const& exchange, Http::Response response)
+void PlatformRunner::send_plain_response(std::shared_ptr<Http::Exchange> const& exchange, Http::Response response)
 {
     if (this->work_time == 0s)
         return exchange->respond(std::move(response));
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -130,7 +130,7 @@
     void terminate_during(std::shared_ptr<Http::Exchange> const&);
     void copy(Http::Exchange&);
     void send_report(Http::Exchange&);
-    void answer_plain(std::shared_ptr<Http::Exchange> const&, Http::Response);
+    void send_plain_response(std::shared_ptr<Http::Exchange> const&, Http::Response);
     Http::Response signed_response(Http::Request const&, Http::Status) const;
 
     Http::asio::io_context& loop;
