--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -278,9 +278,9 @@
         this->generations.erase(found);
         stopped.exchange->abort();
     }
-    bool const is_taken
+    bool const is_accepted
         = !this->on_copy || this->on_copy(std::string(order.at("target_version").as_string()), handle, made);
-    Http::Response response(is_taken ? Http::Status::ok : Http::Status::service_unavailable, Http::http_1_1);
+    Http::Response response(is_accepted ? Http::Status::ok : Http::Status::service_unavailable, Http::http_1_1);
     response.body() = Json::serialize(Json::object { { "handle", handle }, { "made", made } });
     exchange.respond(std::move(response));
 }
