--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -93,12 +93,12 @@
     this->oldest_followed = ++this->newest;
     for (auto& entry : this->waiting) {
         entry.timer->cancel();
-        answer(*entry.exchange, Http::Status::gone, "{}");
+        send_response(*entry.exchange, Http::Status::gone, "{}");
     }
     this->waiting.clear();
 }
 
-void PlatformStore::answer(Http::Exchange& exchange, Http::Status status, std::string body)
+void PlatformStore::send_response(Http::Exchange& exchange, Http::Status status, std::string body)
 {
     Http::Response response(status, Http::http_1_1);
     response.set(Http::Name::content_type, "application/json");
@@ -114,7 +114,7 @@
         return;
     }
     if (this->mode == Mode::Busy)
-        return answer(*exchange, Http::Status::service_unavailable, "{}");
+        return send_response(*exchange, Http::Status::service_unavailable, "{}");
     std::string const target(exchange->request().target());
     auto query = query_of(target);
     if (target.starts_with("/rows-get"))
@@ -123,7 +123,7 @@
         return this->follow(exchange, query["table"], std::stoull(query["after_rev"]), std::stoull(query["wait_ms"]));
     if (target.starts_with("/rows-tx"))
         return this->commit(*exchange);
-    answer(*exchange, Http::Status::not_found, "{}");
+    send_response(*exchange, Http::Status::not_found, "{}");
 }
 
 void PlatformStore::answer_rows(Http::Exchange& exchange, std::string const& table, std::string const& from)
@@ -137,7 +137,7 @@
     }
     Json::object const body { { "rows", std::move(rows) }, { "more", false }, { "ver", this->newest - this->behind },
         { "now_ms", 0 } };
-    answer(exchange, Http::Status::ok, Json::serialize(body));
+    send_response(exchange, Http::Status::ok, Json::serialize(body));
 }
 
 bool PlatformStore::answer_changes(Http::Exchange& exchange, std::string const& table, u64 after, bool is_last_chance)
@@ -157,7 +157,7 @@
     Json::array rows;
     for (auto& [version, change] : changes)
         rows.push_back(std::move(change));
-    answer(exchange, Http::Status::ok,
+    send_response(exchange, Http::Status::ok,
         Json::serialize(Json::object { { "rows", std::move(rows) }, { "ver", this->newest - this->behind } }));
     return true;
 }
@@ -166,7 +166,7 @@
     std::shared_ptr<Http::Exchange> const& exchange, std::string const& table, u64 after, u64 wait_milliseconds)
 {
     if (after < this->oldest_followed)
-        return answer(*exchange, Http::Status::gone, "{}");
+        return send_response(*exchange, Http::Status::gone, "{}");
     if (this->answer_changes(*exchange, table, after, false))
         return;
     auto timer = std::make_shared<AK::Timer>(this->loop, std::chrono::milliseconds(wait_milliseconds));
@@ -205,7 +205,8 @@
             this->remove(std::string(row.at("table").as_string()), std::string(row.at("key").as_string()));
         }
     }
-    answer(exchange, Http::Status::ok, Json::serialize(Json::object { { "ver", this->newest }, { "now_ms", 0 } }));
+    send_response(
+        exchange, Http::Status::ok, Json::serialize(Json::object { { "ver", this->newest }, { "now_ms", 0 } }));
 }
 
 }
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -60,7 +60,7 @@
     void commit(Http::Exchange&);
     bool answer_changes(Http::Exchange&, std::string const& table, u64 after, bool is_last_chance);
     void serve_waiting();
-    static void answer(Http::Exchange&, Http::Status, std::string body);
+    static void send_response(Http::Exchange&, Http::Status, std::string body);
 
     Http::asio::io_context& loop;
     Mode mode { Mode::Serving };
