--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -118,7 +118,7 @@
     std::string const target(exchange->request().target());
     auto query = query_of(target);
     if (target.starts_with("/rows-get"))
-        return this->answer_rows(*exchange, query["table"], query["from"]);
+        return this->send_rows(*exchange, query["table"], query["from"]);
     if (target.starts_with("/rows-feed"))
         return this->follow(exchange, query["table"], std::stoull(query["after_rev"]), std::stoull(query["wait_ms"]));
     if (target.starts_with("/rows-tx"))
@@ -126,7 +126,7 @@
     send_response(*exchange, Http::Status::not_found, "{}");
 }
 
-void PlatformStore::answer_rows(Http::Exchange& exchange, std::string const& table, std::string const& from)
+void PlatformStore::send_rows(Http::Exchange& exchange, std::string const& table, std::string const& from)
 {
     Json::array rows;
     for (auto const& [key, row] : this->tables[table]) {
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -55,7 +55,7 @@
     };
 
     void handle_request(std::shared_ptr<Http::Exchange> const&);
-    void answer_rows(Http::Exchange&, std::string const& table, std::string const& from);
+    void send_rows(Http::Exchange&, std::string const& table, std::string const& from);
     void follow(std::shared_ptr<Http::Exchange> const&, std::string const& table, u64 after, u64 wait_milliseconds);
     void commit(Http::Exchange&);
     bool answer_changes(Http::Exchange&, std::string const& table, u64 after, bool is_last_chance);
