--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -140,7 +140,7 @@
     send_response(exchange, Http::Status::ok, Json::serialize(body));
 }
 
-bool PlatformStore::answer_changes(Http::Exchange& exchange, std::string const& table, u64 after, bool is_last_chance)
+bool PlatformStore::send_changes(Http::Exchange& exchange, std::string const& table, u64 after, bool is_last_chance)
 {
     std::map<u64, Json::object> changes;
     for (auto const& [key, row] : this->tables[table]) {
@@ -167,7 +167,7 @@
 {
     if (after < this->oldest_followed)
         return send_response(*exchange, Http::Status::gone, "{}");
-    if (this->answer_changes(*exchange, table, after, false))
+    if (this->send_changes(*exchange, table, after, false))
         return;
     auto timer = std::make_shared<AK::Timer>(this->loop, std::chrono::milliseconds(wait_milliseconds));
     this->waiting.push_back({ exchange, table, after, timer });
@@ -175,14 +175,14 @@
         if (error)
             return;
         std::erase_if(this->waiting, [&](Waiting const& entry) { return entry.exchange == exchange; });
-        this->answer_changes(*exchange, table, after, true);
+        this->send_changes(*exchange, table, after, true);
     });
 }
 
 void PlatformStore::serve_waiting()
 {
     std::erase_if(this->waiting, [this](Waiting& entry) {
-        if (!this->answer_changes(*entry.exchange, entry.table, entry.after, false))
+        if (!this->send_changes(*entry.exchange, entry.table, entry.after, false))
             return false;
         entry.timer->cancel();
         return true;
