--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -140,7 +140,7 @@
     send_response(exchange, Http::Status::ok, Json::serialize(body));
 }
 
-bool PlatformStore::send_changes(Http::Exchange& exchange, std::string const& table, u64 after, bool is_last_chance)
+bool PlatformStore::send_changes(Http::Exchange& exchange, std::string const& table, u64 after, bool allows_empty)
 {
     std::map<u64, Json::object> changes;
     for (auto const& [key, row] : this->tables[table]) {
@@ -152,7 +152,7 @@
             change["gone"] = true;
         changes[row.version] = std::move(change);
     }
-    if (changes.empty() && !is_last_chance)
+    if (changes.empty() && !allows_empty)
         return false;
     Json::array rows;
     for (auto& [version, change] : changes)
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -58,7 +58,7 @@
     void send_rows(Http::Exchange&, std::string const& table, std::string const& from);
     void follow(std::shared_ptr<Http::Exchange> const&, std::string const& table, u64 after, u64 wait_milliseconds);
     void commit(Http::Exchange&);
-    bool send_changes(Http::Exchange&, std::string const& table, u64 after, bool is_last_chance);
+    bool send_changes(Http::Exchange&, std::string const& table, u64 after, bool allows_empty);
     void serve_waiting();
     static void send_response(Http::Exchange&, Http::Status, std::string body);
 
