--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -88,7 +88,7 @@
     this->waiting.clear();
 }
 
-void PlatformStore::forget_history()
+void PlatformStore::discard_history()
 {
     this->oldest_followed = ++this->newest;
     for (auto& entry : this->waiting) {
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -34,7 +34,7 @@
 
     void set_mode(Mode);
     /// Changes before now cannot be followed any more, and whoever waits for some is told so.
-    void forget_history();
+    void discard_history();
     /// Answers the next requests with the state of this many versions ago.
     void set_behind(u64 versions) { this->behind = versions; }
 
--- a/Tests/Platform/TestPlatformUpdates.cpp
+++ b/Tests/Platform/TestPlatformUpdates.cpp
@@ -38,7 +38,7 @@
     WHEN("the platform loses its history of changes while a change is made")
     {
         fixture.put_configuration(9, extra_route);
-        fixture.store.forget_history();
+        fixture.store.discard_history();
         THEN("the complete table is read again")
         {
             fixture.until([&] { return fixture.log_has("event=E1201 revision_in_force subject=9"); });
@@ -166,7 +166,7 @@
         AND_WHEN("the platform loses its history of changes while the order is cancelled")
         {
             fixture.cancel_evacuation("hall-a");
-            fixture.store.forget_history();
+            fixture.store.discard_history();
             fixture.until([&] { return fixture.log_has("event=E2311 domain_evacuation_taken_back subject=hall-a"); });
         }
         AND_WHEN("another writer replaces the order by an invalid row")
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -231,7 +231,7 @@
 {
     this->log_fault("the platform loses its history");
     this->deployment.mark_all_affected(aftermath);
-    this->deployment.store.forget_history();
+    this->deployment.store.discard_history();
 }
 
 void FaultSchedule::platform_stale()
