--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -36,7 +36,7 @@
     /// Changes before now cannot be followed any more, and whoever waits for some is told so.
     void discard_history();
     /// Answers the next requests with the state of this many versions ago.
-    void set_behind(u64 versions) { this->behind = versions; }
+    void set_version_lag(u64 versions) { this->behind = versions; }
 
     [[nodiscard]] u64 call_count() const { return this->calls; }
     [[nodiscard]] u64 version() const { return this->newest; }
--- a/Tests/Platform/TestPlatformUpdates.cpp
+++ b/Tests/Platform/TestPlatformUpdates.cpp
@@ -47,13 +47,13 @@
     }
     WHEN("the platform returns an older state than before")
     {
-        fixture.store.set_behind(5);
+        fixture.store.set_version_lag(5);
         fixture.put_configuration(9, extra_route);
         fixture.until([&] { return fixture.log_has("older state"); });
         CHECK(fixture.finished_call(HostFixture::request("/extra/1", "e5"))->status == 404);
         THEN("its changes are applied again once it has caught up")
         {
-            fixture.store.set_behind(0);
+            fixture.store.set_version_lag(0);
             fixture.until([&] { return fixture.log_has("event=E1201 revision_in_force subject=9"); });
         }
     }
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -92,7 +92,7 @@
     this->is_over = true;
     this->standing.end();
     this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Serving);
-    this->deployment.store.set_behind(0);
+    this->deployment.store.set_version_lag(0);
     for (auto& host : this->deployment.hosts) {
         host->platform_link->heal();
         host->peer_link->heal();
@@ -239,8 +239,8 @@
     auto duration = this->draw_fault_duration();
     this->log_fault("the platform returns an older state");
     this->deployment.mark_all_affected(duration + aftermath);
-    this->deployment.store.set_behind(versions_behind);
-    this->after(duration, [this] { this->deployment.store.set_behind(0); });
+    this->deployment.store.set_version_lag(versions_behind);
+    this->after(duration, [this] { this->deployment.store.set_version_lag(0); });
 }
 
 void FaultSchedule::expire_entries()
