--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -135,8 +135,8 @@
         rows.push_back(Json::object { { "table", table }, { "part", "" }, { "key", key },
             { "value", to_base64(row.value) }, { "ver", row.version } });
     }
-    Json::object const body { { "rows", std::move(rows) }, { "more", false }, { "ver", this->newest - this->behind },
-        { "now_ms", 0 } };
+    Json::object const body { { "rows", std::move(rows) }, { "more", false },
+        { "ver", this->newest - this->version_lag }, { "now_ms", 0 } };
     send_response(exchange, Http::Status::ok, Json::serialize(body));
 }
 
@@ -158,7 +158,7 @@
     for (auto& [version, change] : changes)
         rows.push_back(std::move(change));
     send_response(exchange, Http::Status::ok,
-        Json::serialize(Json::object { { "rows", std::move(rows) }, { "ver", this->newest - this->behind } }));
+        Json::serialize(Json::object { { "rows", std::move(rows) }, { "ver", this->newest - this->version_lag } }));
     return true;
 }
 
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -36,7 +36,7 @@
     /// Changes before now cannot be followed any more, and whoever waits for some is told so.
     void discard_history();
     /// Answers the next requests with the state of this many versions ago.
-    void set_version_lag(u64 versions) { this->behind = versions; }
+    void set_version_lag(u64 versions) { this->version_lag = versions; }
 
     [[nodiscard]] u64 call_count() const { return this->calls; }
     [[nodiscard]] u64 version() const { return this->newest; }
@@ -67,7 +67,7 @@
     std::map<std::string, std::map<std::string, Row>> tables;
     u64 newest { 1 };
     u64 oldest_followed { 0 };
-    u64 behind { 0 };
+    u64 version_lag { 0 };
     u64 calls { 0 };
     std::list<Waiting> waiting;
     std::vector<std::shared_ptr<Http::Exchange>> unanswered;
