--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -53,13 +53,13 @@
 
 void PlatformStore::put(std::string const& table, std::string const& key, std::string const& value)
 {
-    this->tables[table][key] = { value, ++this->newest, false };
+    this->tables[table][key] = { value, ++this->latest_version, false };
     this->serve_waiting();
 }
 
 void PlatformStore::remove(std::string const& table, std::string const& key)
 {
-    this->tables[table][key] = { {}, ++this->newest, true };
+    this->tables[table][key] = { {}, ++this->latest_version, true };
     this->serve_waiting();
 }
 
@@ -90,7 +90,7 @@
 
 void PlatformStore::discard_history()
 {
-    this->oldest_followed = ++this->newest;
+    this->oldest_followed = ++this->latest_version;
     for (auto& entry : this->waiting) {
         entry.timer->cancel();
         send_response(*entry.exchange, Http::Status::gone, "{}");
@@ -136,7 +136,7 @@
             { "value", to_base64(row.value) }, { "ver", row.version } });
     }
     Json::object const body { { "rows", std::move(rows) }, { "more", false },
-        { "ver", this->newest - this->version_lag }, { "now_ms", 0 } };
+        { "ver", this->latest_version - this->version_lag }, { "now_ms", 0 } };
     send_response(exchange, Http::Status::ok, Json::serialize(body));
 }
 
@@ -158,7 +158,8 @@
     for (auto& [version, change] : changes)
         rows.push_back(std::move(change));
     send_response(exchange, Http::Status::ok,
-        Json::serialize(Json::object { { "rows", std::move(rows) }, { "ver", this->newest - this->version_lag } }));
+        Json::serialize(
+            Json::object { { "rows", std::move(rows) }, { "ver", this->latest_version - this->version_lag } }));
     return true;
 }
 
@@ -206,7 +207,7 @@
         }
     }
     send_response(
-        exchange, Http::Status::ok, Json::serialize(Json::object { { "ver", this->newest }, { "now_ms", 0 } }));
+        exchange, Http::Status::ok, Json::serialize(Json::object { { "ver", this->latest_version }, { "now_ms", 0 } }));
 }
 
 }
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -39,7 +39,7 @@
     void set_version_lag(u64 versions) { this->version_lag = versions; }
 
     [[nodiscard]] u64 call_count() const { return this->calls; }
-    [[nodiscard]] u64 version() const { return this->newest; }
+    [[nodiscard]] u64 version() const { return this->latest_version; }
 
 private:
     struct Row {
@@ -65,7 +65,7 @@
     Http::asio::io_context& loop;
     Mode mode { Mode::Serving };
     std::map<std::string, std::map<std::string, Row>> tables;
-    u64 newest { 1 };
+    u64 latest_version { 1 };
     u64 oldest_followed { 0 };
     u64 version_lag { 0 };
     u64 calls { 0 };
