--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -125,7 +125,7 @@
 void GatewayLoop::ask_router(GenerationRow& row)
 {
     row.state = RowState::AskedRouter;
-    row.asked_at = now();
+    row.requested_at = now();
     row.is_queued = false;
     auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspects());
     if (!owner)
@@ -276,7 +276,7 @@
                 2s });
         return;
     }
-    auto is_overdue = now() - row.asked_at > ask_again_after;
+    auto is_overdue = now() - row.requested_at > ask_again_after;
     if (is_overdue && !row.is_queued)
         this->suspected_until[row.asked] = now() + suspicion;
     if (owner_moved || is_overdue)
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -64,7 +64,7 @@
         RowState state { RowState::AskedRouter };
         EngineId engine;
         MemberId asked;
-        Instant asked_at;
+        Instant requested_at;
         /// The router that was asked has said that it has the request in its queue.
         bool is_queued { false };
         std::set<EngineId> excluded;
--- a/Libraries/LibGateway/ServiceDesk.cpp
+++ b/Libraries/LibGateway/ServiceDesk.cpp
@@ -72,7 +72,7 @@
 void ServiceDesk::ask_for_claim(ServiceRow& row)
 {
     row.waits_for_claim = true;
-    row.asked_at = now();
+    row.requested_at = now();
     auto const* owner = this->node.owner_of("claims");
     if (!owner)
         return;
@@ -211,7 +211,7 @@
             this->refuse(row,
                 { ErrorKind::PlatformUnavailable,
                     "the claim on this idempotency key could not be made before the deadline; come back later", 5s });
-        else if (now() - row.asked_at > ask_again_after)
+        else if (now() - row.requested_at > ask_again_after)
             this->ask_for_claim(row);
     }
 }
--- a/Libraries/LibGateway/ServiceDesk.h
+++ b/Libraries/LibGateway/ServiceDesk.h
@@ -43,7 +43,7 @@
         std::string nonce;
         bool waits_for_claim { false };
         Instant deadline;
-        Instant asked_at;
+        Instant requested_at;
         std::set<EngineId> failed_servers;
         EngineId server;
     };
--- a/Utilities/CallerClient.cpp
+++ b/Utilities/CallerClient.cpp
@@ -60,7 +60,7 @@
     }
     auto now = AK::BootClock::now();
     if (result.tokens.empty())
-        result.stall = now - progress.asked_at;
+        result.stall = now - progress.requested_at;
     else
         result.gaps.push_back(now - progress.last_token_at);
     progress.last_token_at = now;
@@ -124,7 +124,7 @@
     Progress progress;
     first_gateway = this->ready_gateway(first_gateway);
     auto const& first = this->gateways[first_gateway % this->gateways.size()];
-    progress.asked_at = AK::BootClock::now();
+    progress.requested_at = AK::BootClock::now();
     if (this->connect_and_read(progress, first, "POST", "/v1/completions", to_text(body), deadline, on_token))
         return progress.result;
     // The connection broke. Without a resume token nothing was delivered and nothing can be resumed.
--- a/Utilities/CallerClient.h
+++ b/Utilities/CallerClient.h
@@ -49,7 +49,7 @@
     struct Progress {
         GenerationResult result;
         std::string resume_token;
-        Instant asked_at;
+        Instant requested_at;
         Instant last_token_at;
     };
 
