--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -9,7 +9,7 @@
 #include <LibGateway/Accounts.h>
 #include <LibGateway/EdgeCall.h>
 #include <LibGateway/GatewaySettings.h>
-#include <LibGateway/ServiceDesk.h>
+#include <LibGateway/ServiceCallHandler.h>
 #include <LibNode/Node.h>
 #include <atomic>
 #include <map>
@@ -43,7 +43,7 @@
     /// Any thread.
     GenerationId new_generation_id();
     /// Its post_ functions may be called from any thread.
-    [[nodiscard]] ServiceDesk& services() { return this->service_desk; }
+    [[nodiscard]] ServiceCallHandler& services() { return this->service_desk; }
     [[nodiscard]] Node::Node& own_node() { return this->node; }
 
 private:
@@ -93,7 +93,7 @@
     GatewaySettings const& settings;
     std::atomic<size_t> open_calls { 0 };
     Accounts accounts;
-    ServiceDesk service_desk;
+    ServiceCallHandler service_desk;
     std::unordered_map<GenerationId, GenerationRow> generations;
     /// Until when each router that did not answer is passed over.
     std::map<MemberId, Instant> suspected_until;
--- a/Libraries/LibGateway/ServiceDesk.cpp
+++ b/Libraries/LibGateway/ServiceCallHandler.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibGateway/ServiceDesk.h>
+#include <LibGateway/ServiceCallHandler.h>
 #include <algorithm>
 #include <vector>
 
@@ -17,14 +17,14 @@
 
 static Instant now() { return AK::BootClock::now(); }
 
-ServiceDesk::ServiceDesk(Node::Node& node, Accounts& accounts, std::atomic<size_t>& open_calls)
+ServiceCallHandler::ServiceCallHandler(Node::Node& node, Accounts& accounts, std::atomic<size_t>& open_calls)
     : node(node)
     , accounts(accounts)
     , open_calls(open_calls)
 {
 }
 
-void ServiceDesk::post_call(std::shared_ptr<ServiceCall> call)
+void ServiceCallHandler::post_call(std::shared_ptr<ServiceCall> call)
 {
     ++this->open_calls;
     this->node.loop().post([this, call = std::move(call)] { this->begin(call); });
@@ -36,7 +36,7 @@
         service.repeatable_paths(), [&](auto const& prefix) { return path.starts_with(prefix); });
 }
 
-void ServiceDesk::begin(std::shared_ptr<ServiceCall> call)
+void ServiceCallHandler::begin(std::shared_ptr<ServiceCall> call)
 {
     auto decided = [&]() -> Result<ServiceRow> {
         if (!this->node.is_ready())
@@ -69,7 +69,7 @@
     this->ask_for_claim(row);
 }
 
-void ServiceDesk::ask_for_claim(ServiceRow& row)
+void ServiceCallHandler::ask_for_claim(ServiceRow& row)
 {
     row.waits_for_claim = true;
     row.requested_at = now();
@@ -84,7 +84,7 @@
     this->node.send(owner->address, std::move(envelope));
 }
 
-void ServiceDesk::receive(wire::ClaimReply const& reply)
+void ServiceCallHandler::receive(wire::ClaimReply const& reply)
 {
     auto found = this->calls.find(reply.nonce());
     if (found == this->calls.end() || !found->second.waits_for_claim)
@@ -110,7 +110,7 @@
     }
 }
 
-Platform::BackendServerRecord const* ServiceDesk::choose_server(ServiceRow const& row)
+Platform::BackendServerRecord const* ServiceCallHandler::choose_server(ServiceRow const& row)
 {
     Platform::BackendServerRecord const* best = nullptr;
     for (auto const& server : this->node.backend_servers()) {
@@ -123,7 +123,7 @@
     return best;
 }
 
-void ServiceDesk::dispatch(ServiceRow& row)
+void ServiceCallHandler::dispatch(ServiceRow& row)
 {
     auto const* server = this->choose_server(row);
     if (!server) {
@@ -139,7 +139,7 @@
     row.call->decisions.put(ServiceAdmitted { server->id, server->address, row.organisation, row.is_repeatable });
 }
 
-void ServiceDesk::release_claim(ServiceRow const& row)
+void ServiceCallHandler::release_claim(ServiceRow const& row)
 {
     auto const* owner = this->node.owner_of("claims");
     // Also a claim of which nothing was heard: it may have been made. Only its own nonce can release it.
@@ -153,7 +153,7 @@
     this->node.send(owner->address, std::move(envelope));
 }
 
-void ServiceDesk::refuse(ServiceRow const& row, Error error)
+void ServiceCallHandler::refuse(ServiceRow const& row, Error error)
 {
     auto call = row.call;
     this->release_claim(row);
@@ -162,7 +162,7 @@
     call->decisions.put(Refused { std::move(error) });
 }
 
-void ServiceDesk::post_again(std::shared_ptr<ServiceCall> call, EngineId failed_server)
+void ServiceCallHandler::post_again(std::shared_ptr<ServiceCall> call, EngineId failed_server)
 {
     this->node.loop().post([this, call = std::move(call), failed_server = std::move(failed_server)] {
         auto found = this->calls.find(call->id);
@@ -181,7 +181,8 @@
     });
 }
 
-void ServiceDesk::post_ended(std::shared_ptr<ServiceCall> call, Delivery::Outcome outcome, std::string const& text)
+void ServiceCallHandler::post_ended(
+    std::shared_ptr<ServiceCall> call, Delivery::Outcome outcome, std::string const& text)
 {
     this->node.loop().post([this, call = std::move(call), outcome, text] {
         auto found = this->calls.find(call->id);
@@ -198,7 +199,7 @@
     });
 }
 
-void ServiceDesk::tick()
+void ServiceCallHandler::tick()
 {
     std::vector<std::string> waiting;
     for (auto const& [id, row] : this->calls) {
--- a/Libraries/LibGateway/ServiceDesk.h
+++ b/Libraries/LibGateway/ServiceCallHandler.h
@@ -20,10 +20,10 @@
 
 /// The gateway's plain-service calls: claims their idempotency keys and chooses their servers. Runs on the node's loop;
 /// the functions named post_* may be called from any thread.
-class ServiceDesk {
+class ServiceCallHandler {
 public:
     /// `open_calls` counts the requests of the whole gateway that have not had their final answer.
-    ServiceDesk(Node::Node&, Accounts&, std::atomic<size_t>& open_calls);
+    ServiceCallHandler(Node::Node&, Accounts&, std::atomic<size_t>& open_calls);
 
     void post_call(std::shared_ptr<ServiceCall>);
     /// Another try of a call that is known not to have run, or that may be repeated.
