--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -35,7 +35,7 @@
     : node(node)
     , settings(settings)
     , accounts(node)
-    , service_desk(node, this->accounts, this->open_calls)
+    , service_call_handler(node, this->accounts, this->open_calls)
     , random(std::random_device {}())
 {
     this->id_prefix = "gen-" + random_hexadecimal(this->random()) + '-';
@@ -158,7 +158,7 @@
         this->receive_place_reply(envelope.place_reply(), Address(envelope.sender_address()));
         return;
     case wire::Envelope::kClaimReply:
-        this->service_desk.receive(envelope.claim_reply());
+        this->service_call_handler.receive(envelope.claim_reply());
         return;
     default:
         return;
@@ -397,7 +397,7 @@
     for (auto const& id : due) {
         this->check_waiting(this->generations[id]);
     }
-    this->service_desk.tick();
+    this->service_call_handler.tick();
     this->node.metrics().set("lilac_open_generations", static_cast<double>(this->generations.size()));
 }
 
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -43,7 +43,7 @@
     /// Any thread.
     GenerationId new_generation_id();
     /// Its post_ functions may be called from any thread.
-    [[nodiscard]] ServiceCallHandler& services() { return this->service_desk; }
+    [[nodiscard]] ServiceCallHandler& services() { return this->service_call_handler; }
     [[nodiscard]] Node::Node& own_node() { return this->node; }
 
 private:
@@ -93,7 +93,7 @@
     GatewaySettings const& settings;
     std::atomic<size_t> open_calls { 0 };
     Accounts accounts;
-    ServiceCallHandler service_desk;
+    ServiceCallHandler service_call_handler;
     std::unordered_map<GenerationId, GenerationRow> generations;
     /// Until when each router that did not answer is passed over.
     std::map<MemberId, Instant> suspected_until;
