--- a/Libraries/LibGateway/CallerFrontend.cpp
+++ b/Libraries/LibGateway/CallerFrontend.cpp
@@ -108,7 +108,7 @@
         TRY(auto deadline, parse_deadline(request.get("Lilactiller-Deadline-Milliseconds", "")));
         TRY(auto body, read_body(request));
         TRY(auto parsed, parse_generation_request(this->shape, body));
-        auto call = std::make_shared<EdgeCall>();
+        auto call = std::make_shared<GenerationCall>();
         call->generation = this->frontend.gateway.new_generation_id();
         call->request = std::move(parsed);
         call->request.api_key = std::move(api_key);
--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -53,13 +53,13 @@
 
 // Generations
 
-void GatewayLoop::post_begin(std::shared_ptr<EdgeCall> call)
+void GatewayLoop::post_begin(std::shared_ptr<GenerationCall> call)
 {
     ++this->open_calls;
     this->node.loop().post([this, call = std::move(call)] { this->begin(call); });
 }
 
-void GatewayLoop::begin(std::shared_ptr<EdgeCall> call)
+void GatewayLoop::begin(std::shared_ptr<GenerationCall> call)
 {
     auto refuse_early = [&](Error error) {
         --this->open_calls;
@@ -220,14 +220,15 @@
     row.call->decisions.put(std::move(admitted));
 }
 
-void GatewayLoop::post_try_again(std::shared_ptr<EdgeCall> call, EngineId failed_engine, StreamFailure failure)
+void GatewayLoop::post_try_again(std::shared_ptr<GenerationCall> call, EngineId failed_engine, StreamFailure failure)
 {
     this->node.loop().post([this, call = std::move(call), failed_engine = std::move(failed_engine), failure] {
         this->try_again(call, failed_engine, failure);
     });
 }
 
-void GatewayLoop::try_again(std::shared_ptr<EdgeCall> const& call, EngineId const& failed_engine, StreamFailure failure)
+void GatewayLoop::try_again(
+    std::shared_ptr<GenerationCall> const& call, EngineId const& failed_engine, StreamFailure failure)
 {
     auto found = this->generations.find(call->generation);
     if (found == this->generations.end())
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -7,8 +7,8 @@
 #pragma once
 
 #include <LibGateway/Accounts.h>
-#include <LibGateway/EdgeCall.h>
 #include <LibGateway/GatewaySettings.h>
+#include <LibGateway/GenerationCall.h>
 #include <LibGateway/ServiceCallHandler.h>
 #include <LibNode/Node.h>
 #include <atomic>
@@ -27,9 +27,9 @@
 public:
     GatewayLoop(Node::Node&, GatewaySettings const&);
 
-    void post_begin(std::shared_ptr<EdgeCall>);
+    void post_begin(std::shared_ptr<GenerationCall>);
     /// The engine did not start the attempt, or was lost before any token: ask for another engine.
-    void post_try_again(std::shared_ptr<EdgeCall>, EngineId failed_engine, StreamFailure);
+    void post_try_again(std::shared_ptr<GenerationCall>, EngineId failed_engine, StreamFailure);
     void post_first_token(GenerationId const&);
     void post_finished(GenerationId const&, wire::FinishReason, u64 token_count, std::string const& text);
     /// The caller's connection is gone. The generation is stopped after a while, unless the caller has resumed it, here
@@ -53,7 +53,7 @@
     };
 
     struct GenerationRow {
-        std::shared_ptr<EdgeCall> call;
+        std::shared_ptr<GenerationCall> call;
         OrganisationId organisation;
         RouteName route;
         ModelId model;
@@ -73,11 +73,11 @@
     void receive(wire::Envelope const&);
     void receive_place_reply(wire::PlaceReply const&, Address const& sender);
 
-    void begin(std::shared_ptr<EdgeCall>);
+    void begin(std::shared_ptr<GenerationCall>);
     void ask_router(GenerationRow&);
     [[nodiscard]] wire::PlaceRequest place_request(GenerationRow const&) const;
     void refuse(GenerationRow const&, Error);
-    void try_again(std::shared_ptr<EdgeCall> const&, EngineId const& failed_engine, StreamFailure);
+    void try_again(std::shared_ptr<GenerationCall> const&, EngineId const& failed_engine, StreamFailure);
     void check_waiting(GenerationRow&);
     /// Routers that did not answer of late. Nothing that must hold depends on it.
     [[nodiscard]] std::set<MemberId> suspects();
--- a/Libraries/LibGateway/EdgeCall.h
+++ b/Libraries/LibGateway/GenerationCall.h
@@ -35,7 +35,7 @@
 using Decision = std::variant<Admitted, Refused>;
 
 /// One generation request, from its edge thread's side.
-struct EdgeCall {
+struct GenerationCall {
     GenerationId generation;
     GenerationRequest request;
     Core::Mailbox<Decision> decisions;
--- a/Libraries/LibGateway/GenerationEdge.cpp
+++ b/Libraries/LibGateway/GenerationEdge.cpp
@@ -21,7 +21,7 @@
 {
 }
 
-void GenerationEdge::serve(std::shared_ptr<EdgeCall> const& edge_call)
+void GenerationEdge::serve(std::shared_ptr<GenerationCall> const& edge_call)
 {
     this->call = edge_call.get();
     this->last_token_at = AK::BootClock::now();
@@ -59,7 +59,8 @@
     }
 }
 
-bool GenerationEdge::try_elsewhere(std::shared_ptr<EdgeCall> const& edge_call, Admitted const& placed, RelayEnd end)
+bool GenerationEdge::try_elsewhere(
+    std::shared_ptr<GenerationCall> const& edge_call, Admitted const& placed, RelayEnd end)
 {
     if (this->writer.is_stream() && !this->relay.begin_next_attempt())
         return false;
@@ -86,7 +87,7 @@
         Delivery::Outcome::MayHaveRun, this->relay.next_offset());
 }
 
-GenerationEdge::RelayEnd GenerationEdge::relay_new(EdgeCall& edge_call, Admitted const& placed)
+GenerationEdge::RelayEnd GenerationEdge::relay_new(GenerationCall& edge_call, Admitted const& placed)
 {
     this->admitted = &placed;
     VERIFY(this->relay.current_attempt() == placed.placement.attempt);
--- a/Libraries/LibGateway/GenerationEdge.h
+++ b/Libraries/LibGateway/GenerationEdge.h
@@ -21,7 +21,7 @@
     GenerationEdge(GatewayLoop&, GatewaySettings const&, CallerWriter&);
 
     /// Serves a new request to its final answer.
-    void serve(std::shared_ptr<EdgeCall> const&);
+    void serve(std::shared_ptr<GenerationCall> const&);
     /// Serves a caller that resumes a generation which some gateway began.
     void serve_resumed(ResumeCall const&, Delivery::ResumeToken const&);
 
@@ -41,13 +41,13 @@
         Address address;
     };
 
-    RelayEnd relay_new(EdgeCall&, Admitted const&);
+    RelayEnd relay_new(GenerationCall&, Admitted const&);
     RelayEnd relay_items(Source const&, std::unique_ptr<EngineStream>);
     RelayEnd pass_on(Source const&, EngineToken const&);
     std::variant<std::unique_ptr<EngineStream>, StreamFailure> reattach(Source const&);
     void measure_token(bool is_first);
     void offer_resume(Admitted const&, std::string const& execution);
-    bool try_elsewhere(std::shared_ptr<EdgeCall> const&, Admitted const&, RelayEnd);
+    bool try_elsewhere(std::shared_ptr<GenerationCall> const&, Admitted const&, RelayEnd);
     void fail_lost();
 
     GatewayLoop& gateway;
@@ -58,7 +58,7 @@
     Delivery::DispatchRecord record { Delivery::Repeatability::Repeatable };
     u64 attachment { 0 };
     Instant last_token_at;
-    EdgeCall* call { nullptr };
+    GenerationCall* call { nullptr };
     Admitted const* admitted { nullptr };
 };
 
--- a/Libraries/LibGateway/ServiceCallHandler.h
+++ b/Libraries/LibGateway/ServiceCallHandler.h
@@ -8,7 +8,7 @@
 
 #include <LibDelivery/Outcome.h>
 #include <LibGateway/Accounts.h>
-#include <LibGateway/EdgeCall.h>
+#include <LibGateway/GenerationCall.h>
 #include <LibNode/Node.h>
 #include <atomic>
 #include <map>
