--- a/Libraries/LibGateway/GenerationEdge.cpp
+++ b/Libraries/LibGateway/GenerationEdge.cpp
@@ -21,13 +21,13 @@
 {
 }
 
-void GenerationEdge::serve(std::shared_ptr<GenerationCall> const& edge_call)
+void GenerationEdge::serve(std::shared_ptr<GenerationCall> const& generation_call)
 {
-    this->call = edge_call.get();
+    this->call = generation_call.get();
     this->last_token_at = AK::BootClock::now();
-    this->gateway.post_begin(edge_call);
+    this->gateway.post_begin(generation_call);
     while (true) {
-        auto decision = edge_call->decisions.take(longest_decision);
+        auto decision = generation_call->decisions.take(longest_decision);
         if (!decision || std::holds_alternative<Refused>(*decision)) {
             auto error = decision ? std::get<Refused>(*decision).error
                                   : Error { ErrorKind::NotReady, "this host is stopping; try again", 1s };
@@ -35,8 +35,8 @@
             return;
         }
         auto const& placed = std::get<Admitted>(*decision);
-        auto end = this->relay_new(*edge_call, placed);
-        auto const& generation = edge_call->generation;
+        auto end = this->relay_new(*generation_call, placed);
+        auto const& generation = generation_call->generation;
         switch (end) {
         case RelayEnd::Finished:
             this->gateway.post_finished(generation, wire::FINISH_COMPLETED, this->relay.next_offset(), "completed");
@@ -50,7 +50,7 @@
         default:
             break;
         }
-        if (!this->try_elsewhere(edge_call, placed, end)) {
+        if (!this->try_elsewhere(generation_call, placed, end)) {
             this->gateway.post_finished(generation, wire::FINISH_FAILED, this->relay.next_offset(),
                 "lost at " + placed.placement.engine.value());
             this->fail_lost();
@@ -60,7 +60,7 @@
 }
 
 bool GenerationEdge::try_elsewhere(
-    std::shared_ptr<GenerationCall> const& edge_call, Admitted const& placed, RelayEnd end)
+    std::shared_ptr<GenerationCall> const& generation_call, Admitted const& placed, RelayEnd end)
 {
     if (this->writer.is_stream() && !this->relay.begin_next_attempt())
         return false;
@@ -68,15 +68,15 @@
         // Nothing has gone to the caller yet, so the answer may come whole from another generation.
         this->relay = Delivery::TokenRelay(AttemptNumber(placed.placement.attempt.value() + 1));
         this->writer.start_over();
-        edge_call->delivered = 0;
+        generation_call->delivered = 0;
     }
     auto failure = end == RelayEnd::EngineLeaving ? StreamFailure::Leaving
         : end == RelayEnd::NotStarted             ? StreamFailure::NotStarted
                                                   : StreamFailure::Broken;
     if (failure == StreamFailure::Broken)
-        cancel_on_engine(placed.placement.address, edge_call->generation, placed.placement.attempt, {},
+        cancel_on_engine(placed.placement.address, generation_call->generation, placed.placement.attempt, {},
             this->settings.connect_patience);
-    this->gateway.post_try_again(edge_call, placed.placement.engine, failure);
+    this->gateway.post_try_again(generation_call, placed.placement.engine, failure);
     return true;
 }
 
@@ -87,13 +87,13 @@
         Delivery::Outcome::MayHaveRun, this->relay.next_offset());
 }
 
-GenerationEdge::RelayEnd GenerationEdge::relay_new(GenerationCall& edge_call, Admitted const& placed)
+GenerationEdge::RelayEnd GenerationEdge::relay_new(GenerationCall& generation_call, Admitted const& placed)
 {
     this->admitted = &placed;
     VERIFY(this->relay.current_attempt() == placed.placement.attempt);
     this->record.about_to_send();
     auto opened = EngineStream::start(placed.placement.address, placed.start, this->settings.stall_limit);
-    Source source { edge_call.generation, placed.placement.address };
+    Source source { generation_call.generation, placed.placement.address };
     if (auto* failure = std::get_if<StreamFailure>(&opened)) {
         if (*failure == StreamFailure::Unknown)
             return RelayEnd::Lost;
