--- a/Libraries/LibGateway/CallerFrontend.cpp
+++ b/Libraries/LibGateway/CallerFrontend.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <LibGateway/CallerFrontend.h>
-#include <LibGateway/GenerationEdge.h>
+#include <LibGateway/GenerationSession.h>
 #include <LibGateway/ServiceEdge.h>
 #include <Poco/Net/Context.h>
 #include <Poco/Net/HTTPRequestHandler.h>
@@ -116,7 +116,7 @@
         CallerWriter writer(
             response, { call->generation, call->request.route, this->shape, now_seconds() }, call->request.stream);
         writer.set_header("Lilactiller-Generation", call->generation.value());
-        GenerationEdge(this->frontend.gateway, this->frontend.settings, writer).serve(call);
+        GenerationSession(this->frontend.gateway, this->frontend.settings, writer).serve(call);
         return success();
     }
 
@@ -157,7 +157,7 @@
             return refused->error;
         auto const& token = std::get<Delivery::ResumeToken>(*decision);
         CallerWriter writer(response, { token.generation, token.route, ApiShape::Completion, now_seconds() }, true);
-        GenerationEdge(this->frontend.gateway, this->frontend.settings, writer).serve_resumed(*call, token);
+        GenerationSession(this->frontend.gateway, this->frontend.settings, writer).serve_resumed(*call, token);
         return success();
     }
 };
--- a/Libraries/LibGateway/GenerationEdge.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibGateway/GenerationEdge.h>
+#include <LibGateway/GenerationSession.h>
 #include <thread>
 
 namespace Gateway {
@@ -14,14 +14,14 @@
 static constexpr int refused_connections_until_lost = 3;
 static constexpr Duration pause_between_resumes = 100ms;
 
-GenerationEdge::GenerationEdge(GatewayLoop& gateway, GatewaySettings const& settings, CallerWriter& writer)
+GenerationSession::GenerationSession(GatewayLoop& gateway, GatewaySettings const& settings, CallerWriter& writer)
     : gateway(gateway)
     , settings(settings)
     , writer(writer)
 {
 }
 
-void GenerationEdge::serve(std::shared_ptr<GenerationCall> const& generation_call)
+void GenerationSession::serve(std::shared_ptr<GenerationCall> const& generation_call)
 {
     this->call = generation_call.get();
     this->last_token_at = AK::BootClock::now();
@@ -59,7 +59,7 @@
     }
 }
 
-bool GenerationEdge::try_elsewhere(
+bool GenerationSession::try_elsewhere(
     std::shared_ptr<GenerationCall> const& generation_call, Admitted const& placed, RelayEnd end)
 {
     if (this->writer.is_stream() && !this->relay.begin_next_attempt())
@@ -80,14 +80,14 @@
     return true;
 }
 
-void GenerationEdge::fail_lost()
+void GenerationSession::fail_lost()
 {
     this->writer.fail({ ErrorKind::GenerationLost,
                           "the engine lost this generation and no other can continue it; send the request again", {} },
         Delivery::Outcome::MayHaveRun, this->relay.next_offset());
 }
 
-GenerationEdge::RelayEnd GenerationEdge::relay_new(GenerationCall& generation_call, Admitted const& placed)
+GenerationSession::RelayEnd GenerationSession::relay_new(GenerationCall& generation_call, Admitted const& placed)
 {
     this->admitted = &placed;
     VERIFY(this->relay.current_attempt() == placed.placement.attempt);
@@ -109,7 +109,7 @@
     return this->relay_items(source, std::move(std::get<0>(opened)));
 }
 
-std::variant<std::unique_ptr<EngineStream>, StreamFailure> GenerationEdge::reattach(Source const& source)
+std::variant<std::unique_ptr<EngineStream>, StreamFailure> GenerationSession::reattach(Source const& source)
 {
     auto give_up_at = AK::BootClock::now() + this->settings.resume_patience;
     int refused = 0;
@@ -127,7 +127,7 @@
     return StreamFailure::Unknown;
 }
 
-GenerationEdge::RelayEnd GenerationEdge::relay_items(Source const& source, std::unique_ptr<EngineStream> stream)
+GenerationSession::RelayEnd GenerationSession::relay_items(Source const& source, std::unique_ptr<EngineStream> stream)
 {
     while (true) {
         this->attachment = stream->attachment();
@@ -153,7 +153,7 @@
 }
 
 /// Finished means here that the token is dealt with; Lost, that tokens are missing before it.
-GenerationEdge::RelayEnd GenerationEdge::pass_on(Source const& source, EngineToken const& token)
+GenerationSession::RelayEnd GenerationSession::pass_on(Source const& source, EngineToken const& token)
 {
     auto is_first = !this->relay.has_delivered();
     switch (this->relay.accept(token.attempt, token.execution, token.offset)) {
@@ -177,7 +177,7 @@
     return RelayEnd::Finished;
 }
 
-void GenerationEdge::measure_token(bool is_first)
+void GenerationSession::measure_token(bool is_first)
 {
     auto now = AK::BootClock::now();
     auto& metrics = this->gateway.own_node().metrics();
@@ -185,7 +185,7 @@
     this->last_token_at = now;
 }
 
-void GenerationEdge::offer_resume(Admitted const& placed, std::string const& execution)
+void GenerationSession::offer_resume(Admitted const& placed, std::string const& execution)
 {
     if (!placed.signing_key)
         return;
@@ -203,7 +203,7 @@
     this->writer.set_header("Lilactiller-Resume-Token", Delivery::sign(token, *placed.signing_key));
 }
 
-void GenerationEdge::serve_resumed(ResumeCall const& resume, Delivery::ResumeToken const& token)
+void GenerationSession::serve_resumed(ResumeCall const& resume, Delivery::ResumeToken const& token)
 {
     this->relay = Delivery::TokenRelay(token.attempt, resume.next_offset);
     this->relay.pin_execution(token.execution);
--- a/Libraries/LibGateway/GenerationEdge.h
+++ b/Libraries/LibGateway/GenerationSession.h
@@ -16,9 +16,9 @@
 
 /// One generation on its edge thread: waits for the loop's decisions, relays tokens from the engine to the caller, and
 /// resumes when the link to the engine breaks.
-class GenerationEdge {
+class GenerationSession {
 public:
-    GenerationEdge(GatewayLoop&, GatewaySettings const&, CallerWriter&);
+    GenerationSession(GatewayLoop&, GatewaySettings const&, CallerWriter&);
 
     /// Serves a new request to its final answer.
     void serve(std::shared_ptr<GenerationCall> const&);
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -64,7 +64,7 @@
     Libraries/LibDelivery/TokenRelay.h "if (this->delivered_any)
             return false;" ""
 guard "a whole answer" TestPromises "Scenario: the link to an engine breaks in the middle of answers" \
-    Libraries/LibGateway/GenerationEdge.cpp "auto reattached = this->reattach(source);" \
+    Libraries/LibGateway/GenerationSession.cpp "auto reattached = this->reattach(source);" \
     "if (true) return RelayEnd::Finished; auto reattached = this->reattach(source);"
 guard "not run is certain" TestLibDelivery "the record agrees with a model that counts runs" \
     Libraries/LibDelivery/DispatchRecord.h "return this->open_dispatches == 0 ? Outcome::NotRun : Outcome::MayHaveRun;" \
@@ -89,7 +89,7 @@
     Libraries/LibNode/Node.h "this->configuration_known && this->router_known && !this->leaving" \
     "this->configuration_known && !this->leaving"
 guard "a lost attempt may have run" TestPromises "Scenario: a generation is lost before its first token and no other engine takes it" \
-    Libraries/LibGateway/GenerationEdge.cpp "this->writer.fail(error, this->record.outcome(), {});" \
+    Libraries/LibGateway/GenerationSession.cpp "this->writer.fail(error, this->record.outcome(), {});" \
     "this->writer.fail(error, Delivery::Outcome::NotRun, {});"
 guard "a queue is handed on" TestPromises "Scenario: a router that leaves hands its queue on" \
     Libraries/LibGateway/GatewayLoop.cpp "if (owner_moved || is_overdue)" "if (false)"
