--- a/Libraries/LibGateway/CallerFrontend.cpp
+++ b/Libraries/LibGateway/CallerFrontend.cpp
@@ -6,7 +6,7 @@
 
 #include <LibGateway/CallerFrontend.h>
 #include <LibGateway/GenerationSession.h>
-#include <LibGateway/ServiceEdge.h>
+#include <LibGateway/ServiceCallSession.h>
 #include <Poco/Net/Context.h>
 #include <Poco/Net/HTTPRequestHandler.h>
 #include <Poco/Net/HTTPRequestHandlerFactory.h>
@@ -186,7 +186,7 @@
             return Error { ErrorKind::InvalidRequest, "the Idempotency-Key is longer than 256 bytes; shorten it", {} };
         TRY(call->body, read_body(request));
         response.set("Lilactiller-Call", call->id);
-        ServiceEdge(this->frontend.gateway, this->frontend.settings).serve(call, response);
+        ServiceCallSession(this->frontend.gateway, this->frontend.settings).serve(call, response);
         return success();
     }
 };
--- a/Libraries/LibGateway/ServiceEdge.cpp
+++ b/Libraries/LibGateway/ServiceCallSession.cpp
@@ -5,7 +5,7 @@
  */
 
 #include <LibGateway/CallerWriter.h>
-#include <LibGateway/ServiceEdge.h>
+#include <LibGateway/ServiceCallSession.h>
 #include <LibPlatform/HttpCall.h>
 
 namespace Gateway {
@@ -14,7 +14,7 @@
 static constexpr auto not_started_header = "Lilactiller-Not-Started";
 static constexpr Duration longest_decision = 25h;
 
-ServiceEdge::ServiceEdge(GatewayLoop& gateway, GatewaySettings const& settings)
+ServiceCallSession::ServiceCallSession(GatewayLoop& gateway, GatewaySettings const& settings)
     : gateway(gateway)
     , settings(settings)
 {
@@ -41,7 +41,7 @@
     return question;
 }
 
-void ServiceEdge::serve(std::shared_ptr<ServiceCall> const& call, Poco::Net::HTTPServerResponse& response)
+void ServiceCallSession::serve(std::shared_ptr<ServiceCall> const& call, Poco::Net::HTTPServerResponse& response)
 {
     this->gateway.services().post_call(call);
     std::optional<Delivery::DispatchRecord> record;
--- a/Libraries/LibGateway/ServiceEdge.h
+++ b/Libraries/LibGateway/ServiceCallSession.h
@@ -14,9 +14,9 @@
 namespace Gateway {
 
 /// One plain-service call on its edge thread.
-class ServiceEdge {
+class ServiceCallSession {
 public:
-    ServiceEdge(GatewayLoop&, GatewaySettings const&);
+    ServiceCallSession(GatewayLoop&, GatewaySettings const&);
 
     /// Serves the call to its final answer.
     void serve(std::shared_ptr<ServiceCall> const&, Poco::Net::HTTPServerResponse&);
