--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -124,7 +124,7 @@
 
 void GatewayLoop::ask_router(GenerationRow& row)
 {
-    row.state = RowState::AskedRouter;
+    row.state = RowState::WaitingForRouter;
     row.requested_at = now();
     row.is_queued = false;
     auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspects());
@@ -178,7 +178,7 @@
 void GatewayLoop::receive_place_reply(wire::PlaceReply const& reply, Address const& sender)
 {
     auto found = this->generations.find(GenerationId(reply.generation()));
-    auto is_awaited = found != this->generations.end() && found->second.state == RowState::AskedRouter
+    auto is_awaited = found != this->generations.end() && found->second.state == RowState::WaitingForRouter
         && found->second.attempt == AttemptNumber(reply.attempt());
     if (!is_awaited) {
         // A late answer: the place it holds on the engine is given back, unless it is the one that was taken.
@@ -363,7 +363,7 @@
     for (auto& [id, row] : this->generations) {
         if (this->told_owners.contains(row.model))
             continue;
-        if (row.state == RowState::AskedRouter)
+        if (row.state == RowState::WaitingForRouter)
             continue;
         auto* live = news[row.model].mutable_live_generations()->add_generations();
         live->set_generation(id.value());
@@ -387,7 +387,7 @@
 {
     std::vector<GenerationId> due;
     for (auto const& [id, row] : this->generations) {
-        if (row.state == RowState::AskedRouter)
+        if (row.state == RowState::WaitingForRouter)
             due.push_back(id);
         else if (!this->told_owners.contains(row.model)) {
             // The owner that placed it knows it.
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -48,7 +48,7 @@
 
 private:
     enum class RowState : u8 {
-        AskedRouter,
+        WaitingForRouter,
         OnEngine,
     };
 
@@ -61,7 +61,7 @@
         u64 maximum_output_tokens { 0 };
         Instant deadline;
         AttemptNumber attempt;
-        RowState state { RowState::AskedRouter };
+        RowState state { RowState::WaitingForRouter };
         EngineId engine;
         MemberId asked;
         Instant requested_at;
