--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -103,7 +103,7 @@
     this->node.events().record(
         EventNumber::RequestReceived, call->generation.value(), "route " + row.route.value(), organisation_id);
     auto& stored = this->generations[call->generation] = std::move(row);
-    this->ask_router(stored);
+    this->request_placement(stored);
 }
 
 wire::PlaceRequest GatewayLoop::place_request(GenerationRow const& row) const
@@ -122,7 +122,7 @@
     return request;
 }
 
-void GatewayLoop::ask_router(GenerationRow& row)
+void GatewayLoop::request_placement(GenerationRow& row)
 {
     row.state = RowState::WaitingForRouter;
     row.requested_at = now();
@@ -255,7 +255,7 @@
     row.engine = {};
     this->node.events().record(EventNumber::PlacementRepeated, call->generation.value(),
         "attempt " + std::to_string(row.attempt.value()) + " after " + failed_engine.value(), row.organisation);
-    this->ask_router(row);
+    this->request_placement(row);
 }
 
 std::set<MemberId> GatewayLoop::suspects()
@@ -281,7 +281,7 @@
     if (is_overdue && !row.is_queued)
         this->suspected_until[row.asked] = now() + suspicion;
     if (owner_moved || is_overdue)
-        this->ask_router(row);
+        this->request_placement(row);
 }
 
 void GatewayLoop::tell_owner(GenerationRow const& row, wire::Envelope envelope)
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -74,7 +74,7 @@
     void receive_place_reply(wire::PlaceReply const&, Address const& sender);
 
     void begin(std::shared_ptr<GenerationCall>);
-    void ask_router(GenerationRow&);
+    void request_placement(GenerationRow&);
     [[nodiscard]] wire::PlaceRequest place_request(GenerationRow const&) const;
     void refuse(GenerationRow const&, Error);
     void try_again(std::shared_ptr<GenerationCall> const&, EngineId const& failed_engine, StreamFailure);
