--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -135,7 +135,7 @@
             row, { ErrorKind::PeerUnavailable, "no router is reachable from this host; try again at another one", 2s });
         return;
     }
-    row.asked = owner->id;
+    row.router = owner->id;
     wire::Envelope envelope;
     *envelope.mutable_place_request() = this->place_request(row);
     this->node.send(owner->address, std::move(envelope));
@@ -270,7 +270,7 @@
 void GatewayLoop::check_waiting(GenerationRow& row)
 {
     auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspects());
-    auto owner_moved = owner && owner->id != row.asked;
+    auto owner_moved = owner && owner->id != row.router;
     if (now() >= row.deadline) {
         this->refuse(row,
             { ErrorKind::DeadlineUnreachable, "no engine was found before the deadline; come back after the time given",
@@ -279,7 +279,7 @@
     }
     auto is_overdue = now() - row.requested_at > ask_again_after;
     if (is_overdue && !row.is_queued)
-        this->suspected_until[row.asked] = now() + suspicion;
+        this->suspected_until[row.router] = now() + suspicion;
     if (owner_moved || is_overdue)
         this->request_placement(row);
 }
@@ -287,10 +287,10 @@
 void GatewayLoop::tell_owner(GenerationRow const& row, wire::Envelope envelope)
 {
     auto const* owner = this->node.owner_of("pool/" + row.model.value());
-    auto const* asked = this->node.members().find(row.asked);
+    auto const* router = this->node.members().find(row.router);
     // Both may hold a row for it while ownership moves.
-    if (asked && (!owner || asked->id != owner->id))
-        this->node.send(asked->address, envelope);
+    if (router && (!owner || router->id != owner->id))
+        this->node.send(router->address, envelope);
     if (owner)
         this->node.send(owner->address, std::move(envelope));
 }
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -63,7 +63,7 @@
         AttemptNumber attempt;
         RowState state { RowState::WaitingForRouter };
         EngineId engine;
-        MemberId asked;
+        MemberId router;
         Instant requested_at;
         /// The router that was asked has said that it has the request in its queue.
         bool is_queued { false };
