--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -15,7 +15,7 @@
 
 static constexpr Duration tick_period = 100ms;
 // A router answers at once or queues; after this long the question is asked again in case it was lost.
-static constexpr Duration ask_again_after = 1s;
+static constexpr Duration resend_after = 1s;
 // A router that did not answer is passed over for so long; by then gossip knows whether it is gone.
 static constexpr Duration suspicion = 15s;
 static constexpr u32 default_deadline_milliseconds = 10'000;
@@ -277,7 +277,7 @@
                 2s });
         return;
     }
-    auto is_overdue = now() - row.requested_at > ask_again_after;
+    auto is_overdue = now() - row.requested_at > resend_after;
     if (is_overdue && !row.is_queued)
         this->suspected_until[row.router] = now() + suspicion;
     if (owner_moved || is_overdue)
--- a/Libraries/LibGateway/ServiceCallHandler.cpp
+++ b/Libraries/LibGateway/ServiceCallHandler.cpp
@@ -13,7 +13,7 @@
 using Core::EventNumber;
 
 // A claim is written with others after a short wait; after this long the question is asked again.
-static constexpr Duration ask_again_after = 1s;
+static constexpr Duration resend_after = 1s;
 
 static Instant now() { return AK::BootClock::now(); }
 
@@ -212,7 +212,7 @@
             this->refuse(row,
                 { ErrorKind::PlatformUnavailable,
                     "the claim on this idempotency key could not be made before the deadline; come back later", 5s });
-        else if (now() - row.requested_at > ask_again_after)
+        else if (now() - row.requested_at > resend_after)
             this->ask_for_claim(row);
     }
 }
