--- a/Libraries/LibGateway/ServiceCallHandler.cpp
+++ b/Libraries/LibGateway/ServiceCallHandler.cpp
@@ -66,10 +66,10 @@
         return;
     }
     row.nonce = call->id;
-    this->ask_for_claim(row);
+    this->request_claim(row);
 }
 
-void ServiceCallHandler::ask_for_claim(ServiceRow& row)
+void ServiceCallHandler::request_claim(ServiceRow& row)
 {
     row.waits_for_claim = true;
     row.requested_at = now();
@@ -213,7 +213,7 @@
                 { ErrorKind::PlatformUnavailable,
                     "the claim on this idempotency key could not be made before the deadline; come back later", 5s });
         else if (now() - row.requested_at > resend_after)
-            this->ask_for_claim(row);
+            this->request_claim(row);
     }
 }
 
--- a/Libraries/LibGateway/ServiceCallHandler.h
+++ b/Libraries/LibGateway/ServiceCallHandler.h
@@ -49,7 +49,7 @@
     };
 
     void begin(std::shared_ptr<ServiceCall>);
-    void ask_for_claim(ServiceRow&);
+    void request_claim(ServiceRow&);
     void dispatch(ServiceRow&);
     void refuse(ServiceRow const&, Error);
     [[nodiscard]] Platform::BackendServerRecord const* choose_server(ServiceRow const&);
