--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -20,7 +20,7 @@
 static constexpr Duration suspicion = 15s;
 static constexpr u32 default_deadline_milliseconds = 10'000;
 static constexpr u64 default_maximum_output_tokens = 65'536;
-static constexpr size_t most_excluded_engines = 8;
+static constexpr size_t max_excluded_engines = 8;
 
 static Instant now() { return AK::BootClock::now(); }
 
@@ -244,7 +244,7 @@
     this->tell_owner(row, std::move(envelope));
 
     row.excluded.insert(failed_engine);
-    if (now() >= row.deadline || row.excluded.size() > most_excluded_engines
+    if (now() >= row.deadline || row.excluded.size() > max_excluded_engines
         || !this->accounts.spend_retry(row.organisation)) {
         this->refuse(row,
             { ErrorKind::NoBackendServer,
