--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -241,7 +241,7 @@
     finished->set_generation(call->generation.value());
     finished->set_attempt(row.attempt.value());
     finished->set_reason(wire::FINISH_NOT_STARTED);
-    this->tell_owner(row, std::move(envelope));
+    this->notify_owner(row, std::move(envelope));
 
     row.excluded.insert(failed_engine);
     if (now() >= row.deadline || row.excluded.size() > max_excluded_engines
@@ -284,7 +284,7 @@
         this->request_placement(row);
 }
 
-void GatewayLoop::tell_owner(GenerationRow const& row, wire::Envelope envelope)
+void GatewayLoop::notify_owner(GenerationRow const& row, wire::Envelope envelope)
 {
     auto const* owner = this->node.owner_of("pool/" + row.model.value());
     auto const* router = this->node.members().find(row.router);
@@ -304,7 +304,7 @@
         wire::Envelope envelope;
         envelope.mutable_started()->set_generation(generation.value());
         envelope.mutable_started()->set_attempt(found->second.attempt.value());
-        this->tell_owner(found->second, std::move(envelope));
+        this->notify_owner(found->second, std::move(envelope));
         this->node.events().record(EventNumber::FirstTokenDelivered, generation.value(),
             "from " + found->second.engine.value(), found->second.organisation);
     });
@@ -323,7 +323,7 @@
         finished->set_attempt(found->second.attempt.value());
         finished->set_reason(reason);
         finished->set_output_tokens(static_cast<u32>(token_count));
-        this->tell_owner(found->second, std::move(envelope));
+        this->notify_owner(found->second, std::move(envelope));
         auto number = reason == wire::FINISH_FAILED ? EventNumber::StreamFailed : EventNumber::StreamEnded;
         this->node.events().record(number, generation.value(), text, found->second.organisation);
         this->generations.erase(found);
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -81,7 +81,7 @@
     void check_waiting(GenerationRow&);
     /// Routers that did not answer of late. Nothing that must hold depends on it.
     [[nodiscard]] std::set<MemberId> suspects();
-    void tell_owner(GenerationRow const&, wire::Envelope);
+    void notify_owner(GenerationRow const&, wire::Envelope);
     void members_changed();
     void tell_owners_of_live_generations();
     void tick();
