--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -348,11 +348,11 @@
 
 void GatewayLoop::members_changed()
 {
-    for (auto const& [model, owner] : std::map(this->told_owners)) {
+    for (auto const& [model, owner] : std::map(this->notified_owners)) {
         auto const* current = this->node.owner_of("pool/" + model.value());
         if (current && current->id == owner)
             continue;
-        this->told_owners.erase(model);
+        this->notified_owners.erase(model);
     }
     this->tell_owners_of_live_generations();
 }
@@ -361,7 +361,7 @@
 {
     std::map<ModelId, wire::Envelope> news;
     for (auto& [id, row] : this->generations) {
-        if (this->told_owners.contains(row.model))
+        if (this->notified_owners.contains(row.model))
             continue;
         if (row.state == RowState::WaitingForRouter)
             continue;
@@ -377,7 +377,7 @@
     }
     for (auto& [model, envelope] : news) {
         if (auto const* owner = this->node.owner_of("pool/" + model.value())) {
-            this->told_owners[model] = owner->id;
+            this->notified_owners[model] = owner->id;
             this->node.send(owner->address, std::move(envelope));
         }
     }
@@ -389,10 +389,10 @@
     for (auto const& [id, row] : this->generations) {
         if (row.state == RowState::WaitingForRouter)
             due.push_back(id);
-        else if (!this->told_owners.contains(row.model)) {
+        else if (!this->notified_owners.contains(row.model)) {
             // The owner that placed it knows it.
             if (auto const* owner = this->node.owner_of("pool/" + row.model.value()))
-                this->told_owners[row.model] = owner->id;
+                this->notified_owners[row.model] = owner->id;
         }
     }
     for (auto const& id : due) {
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -98,7 +98,7 @@
     /// Until when each router that did not answer is passed over.
     std::map<MemberId, Instant> suspected_until;
     /// The owner of each model's pool as last told of the live generations.
-    std::map<ModelId, MemberId> told_owners;
+    std::map<ModelId, MemberId> notified_owners;
     std::string id_prefix;
     std::atomic<u64> next_id { 1 };
     std::mt19937_64 random;
