--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -354,10 +354,10 @@
             continue;
         this->notified_owners.erase(model);
     }
-    this->tell_owners_of_live_generations();
+    this->announce_live_generations();
 }
 
-void GatewayLoop::tell_owners_of_live_generations()
+void GatewayLoop::announce_live_generations()
 {
     std::map<ModelId, wire::Envelope> news;
     for (auto& [id, row] : this->generations) {
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -83,7 +83,7 @@
     [[nodiscard]] std::set<MemberId> suspects();
     void notify_owner(GenerationRow const&, wire::Envelope);
     void members_changed();
-    void tell_owners_of_live_generations();
+    void announce_live_generations();
     void tick();
 
     void decide_resume(ResumeCall&);
