--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -359,13 +359,13 @@
 
 void GatewayLoop::announce_live_generations()
 {
-    std::map<ModelId, wire::Envelope> news;
+    std::map<ModelId, wire::Envelope> messages;
     for (auto& [id, row] : this->generations) {
         if (this->notified_owners.contains(row.model))
             continue;
         if (row.state == RowState::WaitingForRouter)
             continue;
-        auto* live = news[row.model].mutable_live_generations()->add_generations();
+        auto* live = messages[row.model].mutable_live_generations()->add_generations();
         live->set_generation(id.value());
         live->set_attempt(row.attempt.value());
         live->set_organisation(row.organisation.value());
@@ -375,7 +375,7 @@
         live->set_engine(row.engine.value());
         live->set_maximum_output_tokens(static_cast<u32>(row.maximum_output_tokens));
     }
-    for (auto& [model, envelope] : news) {
+    for (auto& [model, envelope] : messages) {
         if (auto const* owner = this->node.owner_of("pool/" + model.value())) {
             this->notified_owners[model] = owner->id;
             this->node.send(owner->address, std::move(envelope));
