--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -127,7 +127,7 @@
     row.state = RowState::WaitingForRouter;
     row.requested_at = now();
     row.is_queued = false;
-    auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspects());
+    auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspected_routers());
     if (!owner)
         owner = this->node.owner_of("pool/" + row.model.value());
     if (!owner) {
@@ -258,7 +258,7 @@
     this->request_placement(row);
 }
 
-std::set<MemberId> GatewayLoop::suspects()
+std::set<MemberId> GatewayLoop::suspected_routers()
 {
     std::erase_if(this->suspected_until, [](auto const& entry) { return entry.second <= now(); });
     std::set<MemberId> current;
@@ -269,7 +269,7 @@
 
 void GatewayLoop::check_waiting(GenerationRow& row)
 {
-    auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspects());
+    auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspected_routers());
     auto owner_moved = owner && owner->id != row.router;
     if (now() >= row.deadline) {
         this->refuse(row,
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -80,7 +80,7 @@
     void try_again(std::shared_ptr<GenerationCall> const&, EngineId const& failed_engine, StreamFailure);
     void check_waiting(GenerationRow&);
     /// Routers that did not answer of late. Nothing that must hold depends on it.
-    [[nodiscard]] std::set<MemberId> suspects();
+    [[nodiscard]] std::set<MemberId> suspected_routers();
     void notify_owner(GenerationRow const&, wire::Envelope);
     void members_changed();
     void announce_live_generations();
