--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -220,7 +220,7 @@
     row.call->decisions.put(std::move(admitted));
 }
 
-void GatewayLoop::post_try_again(std::shared_ptr<GenerationCall> call, EngineId failed_engine, StreamFailure failure)
+void GatewayLoop::post_retry(std::shared_ptr<GenerationCall> call, EngineId failed_engine, StreamFailure failure)
 {
     this->node.loop().post([this, call = std::move(call), failed_engine = std::move(failed_engine), failure] {
         this->try_again(call, failed_engine, failure);
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -29,7 +29,7 @@
 
     void post_begin(std::shared_ptr<GenerationCall>);
     /// The engine did not start the attempt, or was lost before any token: ask for another engine.
-    void post_try_again(std::shared_ptr<GenerationCall>, EngineId failed_engine, StreamFailure);
+    void post_retry(std::shared_ptr<GenerationCall>, EngineId failed_engine, StreamFailure);
     void post_first_token(GenerationId const&);
     void post_finished(GenerationId const&, wire::FinishReason, u64 token_count, std::string const& text);
     /// The caller's connection is gone. The generation is stopped after a while, unless the caller has resumed it, here
--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -76,7 +76,7 @@
     if (failure == StreamFailure::Broken)
         cancel_on_engine(placed.placement.address, generation_call->generation, placed.placement.attempt, {},
             this->settings.connect_patience);
-    this->gateway.post_try_again(generation_call, placed.placement.engine, failure);
+    this->gateway.post_retry(generation_call, placed.placement.engine, failure);
     return true;
 }
 
