--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -223,11 +223,11 @@
 void GatewayLoop::post_retry(std::shared_ptr<GenerationCall> call, EngineId failed_engine, StreamFailure failure)
 {
     this->node.loop().post([this, call = std::move(call), failed_engine = std::move(failed_engine), failure] {
-        this->try_again(call, failed_engine, failure);
+        this->retry(call, failed_engine, failure);
     });
 }
 
-void GatewayLoop::try_again(
+void GatewayLoop::retry(
     std::shared_ptr<GenerationCall> const& call, EngineId const& failed_engine, StreamFailure failure)
 {
     auto found = this->generations.find(call->generation);
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -77,7 +77,7 @@
     void request_placement(GenerationRow&);
     [[nodiscard]] wire::PlaceRequest place_request(GenerationRow const&) const;
     void refuse(GenerationRow const&, Error);
-    void try_again(std::shared_ptr<GenerationCall> const&, EngineId const& failed_engine, StreamFailure);
+    void retry(std::shared_ptr<GenerationCall> const&, EngineId const& failed_engine, StreamFailure);
     void check_waiting(GenerationRow&);
     /// Routers that did not answer of late. Nothing that must hold depends on it.
     [[nodiscard]] std::set<MemberId> suspected_routers();
