--- a/Libraries/LibGateway/ServiceCallHandler.cpp
+++ b/Libraries/LibGateway/ServiceCallHandler.cpp
@@ -162,7 +162,7 @@
     call->decisions.put(Refused { std::move(error) });
 }
 
-void ServiceCallHandler::post_again(std::shared_ptr<ServiceCall> call, EngineId failed_server)
+void ServiceCallHandler::post_retry(std::shared_ptr<ServiceCall> call, EngineId failed_server)
 {
     this->node.loop().post([this, call = std::move(call), failed_server = std::move(failed_server)] {
         auto found = this->calls.find(call->id);
--- a/Libraries/LibGateway/ServiceCallHandler.h
+++ b/Libraries/LibGateway/ServiceCallHandler.h
@@ -27,7 +27,7 @@
 
     void post_call(std::shared_ptr<ServiceCall>);
     /// Another try of a call that is known not to have run, or that may be repeated.
-    void post_again(std::shared_ptr<ServiceCall>, EngineId failed_server);
+    void post_retry(std::shared_ptr<ServiceCall>, EngineId failed_server);
     void post_ended(std::shared_ptr<ServiceCall>, Delivery::Outcome, std::string const& text);
 
     void receive(wire::ClaimReply const&);
--- a/Libraries/LibGateway/ServiceCallSession.cpp
+++ b/Libraries/LibGateway/ServiceCallSession.cpp
@@ -81,7 +81,7 @@
                 record->outcome());
             return;
         }
-        this->gateway.services().post_again(call, admitted.backend_server);
+        this->gateway.services().post_retry(call, admitted.backend_server);
     }
 }
 
