--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -133,7 +133,7 @@
         this->attachment = stream->attachment();
         auto item = stream->next();
         if (auto const* token = std::get_if<EngineToken>(&item)) {
-            auto end = this->pass_on(source, *token);
+            auto end = this->forward(source, *token);
             if (end == RelayEnd::Finished)
                 continue;
             if (end == RelayEnd::CallerGone)
@@ -153,7 +153,7 @@
 }
 
 /// Finished means here that the token is dealt with; Lost, that tokens are missing before it.
-GenerationSession::RelayEnd GenerationSession::pass_on(Source const& source, EngineToken const& token)
+GenerationSession::RelayEnd GenerationSession::forward(Source const& source, EngineToken const& token)
 {
     auto is_first = !this->relay.has_delivered();
     switch (this->relay.accept(token.attempt, token.execution, token.offset)) {
--- a/Libraries/LibGateway/GenerationSession.h
+++ b/Libraries/LibGateway/GenerationSession.h
@@ -43,7 +43,7 @@
 
     RelayEnd relay_new(GenerationCall&, Admitted const&);
     RelayEnd relay_items(Source const&, std::unique_ptr<EngineStream>);
-    RelayEnd pass_on(Source const&, EngineToken const&);
+    RelayEnd forward(Source const&, EngineToken const&);
     std::variant<std::unique_ptr<EngineStream>, StreamFailure> reattach(Source const&);
     void measure_token(bool is_first);
     void offer_resume(Admitted const&, std::string const& execution);
