--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -50,7 +50,7 @@
         default:
             break;
         }
-        if (!this->try_elsewhere(generation_call, placed, end)) {
+        if (!this->retry_on_another_engine(generation_call, placed, end)) {
             this->gateway.post_finished(generation, wire::FINISH_FAILED, this->relay.next_offset(),
                 "lost at " + placed.placement.engine.value());
             this->fail_lost();
@@ -59,7 +59,7 @@
     }
 }
 
-bool GenerationSession::try_elsewhere(
+bool GenerationSession::retry_on_another_engine(
     std::shared_ptr<GenerationCall> const& generation_call, Admitted const& placed, RelayEnd end)
 {
     if (this->writer.is_stream() && !this->relay.begin_next_attempt())
--- a/Libraries/LibGateway/GenerationSession.h
+++ b/Libraries/LibGateway/GenerationSession.h
@@ -47,7 +47,7 @@
     std::variant<std::unique_ptr<EngineStream>, StreamFailure> reattach(Source const&);
     void measure_token(bool is_first);
     void offer_resume(Admitted const&, std::string const& execution);
-    bool try_elsewhere(std::shared_ptr<GenerationCall> const&, Admitted const&, RelayEnd);
+    bool retry_on_another_engine(std::shared_ptr<GenerationCall> const&, Admitted const&, RelayEnd);
     void fail_lost();
 
     GatewayLoop& gateway;
