--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -10,7 +10,7 @@
 namespace Gateway {
 
 // The loop always answers; this only bounds the wait should the process be going down.
-static constexpr Duration longest_decision = 25h;
+static constexpr Duration max_decision_wait = 25h;
 static constexpr int refused_connections_until_lost = 3;
 static constexpr Duration pause_between_resumes = 100ms;
 
@@ -27,7 +27,7 @@
     this->last_token_at = AK::BootClock::now();
     this->gateway.post_begin(generation_call);
     while (true) {
-        auto decision = generation_call->decisions.take(longest_decision);
+        auto decision = generation_call->decisions.take(max_decision_wait);
         if (!decision || std::holds_alternative<Refused>(*decision)) {
             auto error = decision ? std::get<Refused>(*decision).error
                                   : Error { ErrorKind::NotReady, "this host is stopping; try again", 1s };
--- a/Libraries/LibGateway/ServiceCallSession.cpp
+++ b/Libraries/LibGateway/ServiceCallSession.cpp
@@ -12,7 +12,7 @@
 
 static constexpr auto outcome_header = "Lilactiller-Outcome";
 static constexpr auto not_started_header = "Lilactiller-Not-Started";
-static constexpr Duration longest_decision = 25h;
+static constexpr Duration max_decision_wait = 25h;
 
 ServiceCallSession::ServiceCallSession(GatewayLoop& gateway, GatewaySettings const& settings)
     : gateway(gateway)
@@ -46,7 +46,7 @@
     this->gateway.services().post_call(call);
     std::optional<Delivery::DispatchRecord> record;
     while (true) {
-        auto decision = call->decisions.take(longest_decision);
+        auto decision = call->decisions.take(max_decision_wait);
         auto outcome = record ? record->outcome() : Delivery::Outcome::NotRun;
         if (!decision || std::holds_alternative<Refused>(*decision)) {
             auto error = decision ? std::get<Refused>(*decision).error
