--- a/Libraries/LibGateway/CallerFrontend.cpp
+++ b/Libraries/LibGateway/CallerFrontend.cpp
@@ -86,7 +86,7 @@
     Result<void> check_load()
     {
         auto open = static_cast<i64>(this->frontend.gateway.open_count());
-        if (open < this->frontend.settings.largest_open_calls)
+        if (open < this->frontend.settings.max_open_calls)
             return success();
         return Error { ErrorKind::Overloaded, "this host has too many open requests; come back after the time given",
             1s };
@@ -269,11 +269,11 @@
 }
 
 CallerFrontend::CallerFrontend(GatewayLoop& gateway, GatewaySettings const& settings)
-    : threads(2, static_cast<int>(settings.largest_open_calls) + spare_threads, 60, thread_stack_bytes)
+    : threads(2, static_cast<int>(settings.max_open_calls) + spare_threads, 60, thread_stack_bytes)
     , socket(make_socket(settings))
 {
     auto* parameters = new Poco::Net::HTTPServerParams;
-    parameters->setMaxThreads(static_cast<int>(settings.largest_open_calls) + spare_threads);
+    parameters->setMaxThreads(static_cast<int>(settings.max_open_calls) + spare_threads);
     parameters->setMaxQueued(listen_backlog);
     parameters->setTimeout(Poco::Timespan(caller_timeout_seconds, 0));
     parameters->setKeepAliveTimeout(Poco::Timespan(caller_timeout_seconds, 0));
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -25,7 +25,7 @@
     /// How long connecting to a backend server may take.
     Duration connect_patience { 1s };
     /// Requests open at once; more are refused at once.
-    i64 largest_open_calls { 512 };
+    i64 max_open_calls { 512 };
     Duration resume_token_lifetime { 5min };
     /// A generation whose caller went away runs on for so long, should the caller resume it.
     Duration resume_grace { 5s };
@@ -43,8 +43,7 @@
     settings.stall_limit = reader.duration_or("gateway.stall_limit", settings.stall_limit);
     settings.resume_patience = reader.duration_or("gateway.resume_patience", settings.resume_patience);
     settings.connect_patience = reader.duration_or("gateway.connect_patience", settings.connect_patience);
-    settings.largest_open_calls
-        = reader.whole_number_or("gateway.largest_open_calls", settings.largest_open_calls, 1, 10'000);
+    settings.max_open_calls = reader.whole_number_or("gateway.largest_open_calls", settings.max_open_calls, 1, 10'000);
     settings.resume_token_lifetime
         = reader.duration_or("gateway.resume_token_lifetime", settings.resume_token_lifetime);
     settings.resume_grace = reader.duration_or("gateway.resume_grace", settings.resume_grace);
