--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -111,7 +111,7 @@
 
 std::variant<std::unique_ptr<EngineStream>, StreamFailure> GenerationSession::reattach(Source const& source)
 {
-    auto give_up_at = AK::BootClock::now() + this->settings.resume_patience;
+    auto give_up_at = AK::BootClock::now() + this->settings.resume_timeout;
     int refused = 0;
     while (AK::BootClock::now() < give_up_at) {
         auto opened = EngineStream::resume(source.address, source.generation, this->relay.current_attempt(),
