--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -23,7 +23,7 @@
     /// How long a broken stream is tried to be resumed before the caller is told that it is lost.
     Duration resume_timeout { 5s };
     /// How long connecting to a backend server may take.
-    Duration connect_patience { 1s };
+    Duration connect_timeout { 1s };
     /// Requests open at once; more are refused at once.
     i64 max_open_calls { 512 };
     Duration resume_token_lifetime { 5min };
@@ -42,7 +42,7 @@
     settings.tls_private_key = reader.text_or("gateway.tls_private_key", "");
     settings.stall_limit = reader.duration_or("gateway.stall_limit", settings.stall_limit);
     settings.resume_timeout = reader.duration_or("gateway.resume_patience", settings.resume_timeout);
-    settings.connect_patience = reader.duration_or("gateway.connect_patience", settings.connect_patience);
+    settings.connect_timeout = reader.duration_or("gateway.connect_patience", settings.connect_timeout);
     settings.max_open_calls = reader.whole_number_or("gateway.largest_open_calls", settings.max_open_calls, 1, 10'000);
     settings.resume_token_lifetime
         = reader.duration_or("gateway.resume_token_lifetime", settings.resume_token_lifetime);
--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -75,7 +75,7 @@
                                                   : StreamFailure::Broken;
     if (failure == StreamFailure::Broken)
         cancel_on_engine(placed.placement.address, generation_call->generation, placed.placement.attempt, {},
-            this->settings.connect_patience);
+            this->settings.connect_timeout);
     this->gateway.post_retry(generation_call, placed.placement.engine, failure);
     return true;
 }
