--- a/Libraries/LibGateway/EngineStream.cpp
+++ b/Libraries/LibGateway/EngineStream.cpp
@@ -23,9 +23,9 @@
 static constexpr auto leaving_reason = "leaving";
 
 std::variant<std::unique_ptr<EngineStream>, StreamFailure> EngineStream::open(Address const& address,
-    std::string const& method, std::string const& path, std::string const& body, Duration patience)
+    std::string const& method, std::string const& path, std::string const& body, Duration timeout)
 {
-    auto connected = Platform::connect_http(address, patience);
+    auto connected = Platform::connect_http(address, timeout);
     if (!connected)
         return StreamFailure::NotStarted;
     std::unique_ptr<EngineStream> stream(new EngineStream);
@@ -52,7 +52,7 @@
 }
 
 std::variant<std::unique_ptr<EngineStream>, StreamFailure> EngineStream::start(
-    Address const& address, EngineStart const& start, Duration patience)
+    Address const& address, EngineStart const& start, Duration timeout)
 {
     Object body;
     body.set("generation", start.generation.value());
@@ -65,15 +65,15 @@
     body.set("prefix_hash", static_cast<Poco::UInt64>(start.prefix_hash));
     std::ostringstream text;
     body.stringify(text);
-    return open(address, "POST", "/v1/generations", text.str(), patience);
+    return open(address, "POST", "/v1/generations", text.str(), timeout);
 }
 
 std::variant<std::unique_ptr<EngineStream>, StreamFailure> EngineStream::resume(
-    Address const& address, GenerationId const& generation, AttemptNumber attempt, u64 next_offset, Duration patience)
+    Address const& address, GenerationId const& generation, AttemptNumber attempt, u64 next_offset, Duration timeout)
 {
     auto path = "/v1/generations/" + generation.value() + "/stream?next_offset=" + std::to_string(next_offset)
         + "&attempt=" + std::to_string(attempt.value());
-    return open(address, "GET", path, "", patience);
+    return open(address, "GET", path, "", timeout);
 }
 
 static std::optional<StreamItem> parse_event(std::string const& data)
@@ -110,12 +110,12 @@
 }
 
 void cancel_on_engine(Address const& address, GenerationId const& generation, AttemptNumber attempt,
-    std::optional<u64> attachment, Duration patience)
+    std::optional<u64> attachment, Duration timeout)
 {
     auto path = "/v1/generations/" + generation.value() + "?attempt=" + std::to_string(attempt.value());
     if (attachment)
         path += "&attachment=" + std::to_string(*attachment);
-    (void)Platform::call_http(address, { "DELETE", path, {}, {} }, patience);
+    (void)Platform::call_http(address, { "DELETE", path, {}, {} }, timeout);
 }
 
 }
--- a/Libraries/LibGateway/EngineStream.h
+++ b/Libraries/LibGateway/EngineStream.h
@@ -65,13 +65,13 @@
 public:
     /// Asks the engine to start a generation. Failures: NotStarted, Leaving, Unknown when fenced out, Broken.
     static std::variant<std::unique_ptr<EngineStream>, StreamFailure> start(
-        Address const&, EngineStart const&, Duration patience);
+        Address const&, EngineStart const&, Duration timeout);
     /// Attaches to a generation that runs or has run, from `next_offset` on. Failures: NotStarted when the engine
     /// can't be connected to, Unknown, Broken.
     static std::variant<std::unique_ptr<EngineStream>, StreamFailure> resume(
-        Address const&, GenerationId const&, AttemptNumber, u64 next_offset, Duration patience);
+        Address const&, GenerationId const&, AttemptNumber, u64 next_offset, Duration timeout);
 
-    /// The next token, the end, or Broken when nothing at all came for `patience`.
+    /// The next token, the end, or Broken when nothing at all came for `timeout`.
     StreamItem next();
     /// Counts the streams attached to the generation so far; a cancel by an earlier one is ignored by the engine.
     [[nodiscard]] u64 attachment() const { return this->attachment_number; }
@@ -79,7 +79,7 @@
 private:
     EngineStream() = default;
     static std::variant<std::unique_ptr<EngineStream>, StreamFailure> open(
-        Address const&, std::string const& method, std::string const& path, std::string const& body, Duration patience);
+        Address const&, std::string const& method, std::string const& path, std::string const& body, Duration timeout);
 
     std::unique_ptr<Poco::Net::HTTPClientSession> session;
     std::istream* input { nullptr };
@@ -89,6 +89,6 @@
 /// Tells an engine to stop a generation, and to refuse this attempt and earlier ones from now on. The result does not
 /// matter: the gateway fences the attempt out by itself as well.
 void cancel_on_engine(
-    Address const&, GenerationId const&, AttemptNumber, std::optional<u64> attachment, Duration patience);
+    Address const&, GenerationId const&, AttemptNumber, std::optional<u64> attachment, Duration timeout);
 
 }
--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -335,8 +335,8 @@
 {
     auto cancel = [this, source, token_count] {
         this->node.background().submit(
-            [source, patience = this->settings.connect_timeout] {
-                cancel_on_engine(source.address, source.generation, source.attempt, source.attachment, patience);
+            [source, timeout = this->settings.connect_timeout] {
+                cancel_on_engine(source.address, source.generation, source.attempt, source.attachment, timeout);
                 return true;
             },
             [this, source, token_count](bool) {
