--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -12,7 +12,7 @@
 // The loop always answers; this only bounds the wait should the process be going down.
 static constexpr Duration max_decision_wait = 25h;
 static constexpr int refused_connections_until_lost = 3;
-static constexpr Duration pause_between_resumes = 100ms;
+static constexpr Duration resume_backoff = 100ms;
 
 GenerationSession::GenerationSession(GatewayLoop& gateway, GatewaySettings const& settings, CallerWriter& writer)
     : gateway(gateway)
@@ -122,7 +122,7 @@
         // A process that refuses connections is gone, and its generations with it.
         if (*failure == StreamFailure::NotStarted && ++refused == refused_connections_until_lost)
             return StreamFailure::Unknown;
-        std::this_thread::sleep_for(pause_between_resumes);
+        std::this_thread::sleep_for(resume_backoff);
     }
     return StreamFailure::Unknown;
 }
