--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -11,7 +11,7 @@
 
 // The loop always answers; this only bounds the wait should the process be going down.
 static constexpr Duration max_decision_wait = 25h;
-static constexpr int refused_connections_until_lost = 3;
+static constexpr int max_refused_connections = 3;
 static constexpr Duration resume_backoff = 100ms;
 
 GenerationSession::GenerationSession(GatewayLoop& gateway, GatewaySettings const& settings, CallerWriter& writer)
@@ -120,7 +120,7 @@
         if (!failure || *failure == StreamFailure::Unknown)
             return opened;
         // A process that refuses connections is gone, and its generations with it.
-        if (*failure == StreamFailure::NotStarted && ++refused == refused_connections_until_lost)
+        if (*failure == StreamFailure::NotStarted && ++refused == max_refused_connections)
             return StreamFailure::Unknown;
         std::this_thread::sleep_for(resume_backoff);
     }
