--- a/Libraries/LibGateway/CallerFrontend.cpp
+++ b/Libraries/LibGateway/CallerFrontend.cpp
@@ -31,15 +31,15 @@
 static Result<std::string> read_body(HTTPServerRequest& request)
 {
     auto too_large = Error { ErrorKind::BodyTooLarge,
-        "the body is larger than " + std::to_string(largest_request_bytes) + " bytes; send less", {} };
-    if (request.hasContentLength() && request.getContentLength64() > static_cast<i64>(largest_request_bytes))
+        "the body is larger than " + std::to_string(max_request_bytes) + " bytes; send less", {} };
+    if (request.hasContentLength() && request.getContentLength64() > static_cast<i64>(max_request_bytes))
         return too_large;
     std::string body;
     char buffer[16384];
     auto& stream = request.stream();
     while (stream.read(buffer, sizeof(buffer)) || stream.gcount() > 0) {
         body.append(buffer, static_cast<size_t>(stream.gcount()));
-        if (body.size() > largest_request_bytes)
+        if (body.size() > max_request_bytes)
             return too_large;
     }
     if (request.hasContentLength() && static_cast<i64>(body.size()) != request.getContentLength64())
--- a/Libraries/LibGateway/CallerProtocol.h
+++ b/Libraries/LibGateway/CallerProtocol.h
@@ -31,7 +31,7 @@
     bool stream { false };
 };
 
-static constexpr size_t largest_request_bytes = 4 * 1024 * 1024;
+static constexpr size_t max_request_bytes = 4 * 1024 * 1024;
 
 /// Parses the body of a generation request. Errors: InvalidRequest.
 Result<GenerationRequest> parse_generation_request(ApiShape shape, std::string const& body);
