--- a/Libraries/LibGateway/CallerProtocol.cpp
+++ b/Libraries/LibGateway/CallerProtocol.cpp
@@ -19,7 +19,7 @@
 
 static constexpr size_t prefix_bytes = 256;
 static constexpr size_t bytes_per_token = 4;
-static constexpr u64 largest_deadline_milliseconds = 24ull * 60 * 60 * 1000;
+static constexpr u64 max_deadline_milliseconds = 24ull * 60 * 60 * 1000;
 static constexpr int deepest_json = 32;
 
 static Error invalid(std::string message) { return { ErrorKind::InvalidRequest, std::move(message), {} }; }
@@ -110,7 +110,7 @@
     u64 milliseconds = 0;
     auto [end, error] = std::from_chars(header.data(), header.data() + header.size(), milliseconds);
     if (error != std::errc() || end != header.data() + header.size() || milliseconds == 0
-        || milliseconds > largest_deadline_milliseconds)
+        || milliseconds > max_deadline_milliseconds)
         return invalid("Lilactiller-Deadline-Milliseconds must be a whole number from 1 to 86400000");
     return std::optional<Duration>(std::chrono::milliseconds(milliseconds));
 }
