--- a/Libraries/LibGateway/CallerProtocol.cpp
+++ b/Libraries/LibGateway/CallerProtocol.cpp
@@ -20,7 +20,7 @@
 static constexpr size_t prefix_bytes = 256;
 static constexpr size_t bytes_per_token = 4;
 static constexpr u64 max_deadline_milliseconds = 24ull * 60 * 60 * 1000;
-static constexpr int deepest_json = 32;
+static constexpr int max_json_depth = 32;
 
 static Error invalid(std::string message) { return { ErrorKind::InvalidRequest, std::move(message), {} }; }
 
@@ -91,7 +91,7 @@
 {
     try {
         Poco::JSON::Parser parser;
-        parser.setDepth(deepest_json);
+        parser.setDepth(max_json_depth);
         auto value = parser.parse(body);
         if (value.type() != typeid(Object::Ptr))
             return invalid("the body must be a JSON object");
