--- a/Libraries/LibGateway/CallerFrontend.cpp
+++ b/Libraries/LibGateway/CallerFrontend.cpp
@@ -26,7 +26,7 @@
 static constexpr int spare_threads = 64;
 static constexpr int thread_stack_bytes = 256 * 1024;
 static constexpr long caller_timeout_seconds = 10;
-static constexpr size_t longest_idempotency_key = 256;
+static constexpr size_t max_idempotency_key_bytes = 256;
 
 static Result<std::string> read_body(HTTPServerRequest& request)
 {
@@ -182,7 +182,7 @@
         call->method = request.getMethod();
         call->content_type = request.getContentType();
         call->idempotency_key = request.get("Idempotency-Key", "");
-        if (call->idempotency_key.size() > longest_idempotency_key)
+        if (call->idempotency_key.size() > max_idempotency_key_bytes)
             return Error { ErrorKind::InvalidRequest, "the Idempotency-Key is longer than 256 bytes; shorten it", {} };
         TRY(call->body, read_body(request));
         response.set("Lilactiller-Call", call->id);
