--- a/Libraries/LibGateway/Accounts.cpp
+++ b/Libraries/LibGateway/Accounts.cpp
@@ -11,7 +11,7 @@
 namespace Gateway {
 
 static constexpr double retry_earned_per_request = 0.1;
-static constexpr double largest_retry_allowance = 10;
+static constexpr double max_retry_allowance = 10;
 
 Result<wire::Organisation const*> Accounts::authenticate(std::string const& api_key) const
 {
@@ -35,7 +35,7 @@
 void Accounts::earn_retry(OrganisationId const& id)
 {
     auto& allowance = this->organisations[id].retry_allowance;
-    allowance = std::min(allowance + retry_earned_per_request, largest_retry_allowance);
+    allowance = std::min(allowance + retry_earned_per_request, max_retry_allowance);
 }
 
 }
