--- a/Libraries/LibGateway/CallerProtocol.cpp
+++ b/Libraries/LibGateway/CallerProtocol.cpp
@@ -238,7 +238,7 @@
     return to_text(object);
 }
 
-std::string format_whole_answer(StreamIdentity const& identity, std::string const& text, u64 token_count)
+std::string format_complete_response(StreamIdentity const& identity, std::string const& text, u64 token_count)
 {
     auto object = envelope(identity, false);
     set_choice(object, identity, text, false, true);
--- a/Libraries/LibGateway/CallerProtocol.h
+++ b/Libraries/LibGateway/CallerProtocol.h
@@ -58,7 +58,7 @@
 /// The bodies of answers: JSON objects without line breaks.
 std::string format_token(StreamIdentity const&, std::string const& text, u64 offset, AttemptNumber attempt);
 std::string format_stream_end(StreamIdentity const&, u64 token_count);
-std::string format_whole_answer(StreamIdentity const&, std::string const& text, u64 token_count);
+std::string format_complete_response(StreamIdentity const&, std::string const& text, u64 token_count);
 /// `next_offset` is set when a stream broke after tokens were delivered.
 std::string format_error(Error const&, Delivery::Outcome, std::optional<u64> next_offset = {});
 
--- a/Libraries/LibGateway/CallerWriter.cpp
+++ b/Libraries/LibGateway/CallerWriter.cpp
@@ -74,7 +74,7 @@
 {
     if (!this->stream) {
         this->response.set(outcome_header, std::string(Delivery::to_string(Delivery::Outcome::Completed)));
-        this->send_body(HTTPResponse::HTTP_OK, format_whole_answer(this->identity, this->collected, token_count));
+        this->send_body(HTTPResponse::HTTP_OK, format_complete_response(this->identity, this->collected, token_count));
         return;
     }
     if (!this->output)
