--- a/Libraries/LibGateway/ServiceCallSession.cpp
+++ b/Libraries/LibGateway/ServiceCallSession.cpp
@@ -20,7 +20,7 @@
 {
 }
 
-static void send_answer(Poco::Net::HTTPServerResponse& response, Platform::HttpResponse const& answer)
+static void send_response(Poco::Net::HTTPServerResponse& response, Platform::HttpResponse const& answer)
 {
     response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.status));
     auto type = answer.headers.find("Content-Type");
@@ -67,7 +67,7 @@
             record->completed();
             this->gateway.services().post_ended(
                 call, record->outcome(), "status " + std::to_string(answer.value().status));
-            send_answer(response, answer.value());
+            send_response(response, answer.value());
             return;
         }
         if (was_turned_away || answer.error().progress == Platform::CallProgress::NothingSent)
