--- a/Libraries/LibGateway/ServiceCallSession.cpp
+++ b/Libraries/LibGateway/ServiceCallSession.cpp
@@ -29,7 +29,7 @@
     response.sendBuffer(answer.body.data(), answer.body.size());
 }
 
-static Platform::HttpRequest to_question(ServiceCall const& call, OrganisationId const& organisation)
+static Platform::HttpRequest to_backend_request(ServiceCall const& call, OrganisationId const& organisation)
 {
     Platform::HttpRequest question { call.method, call.path, call.body, {} };
     question.headers["Lilactiller-Organisation"] = organisation.value();
@@ -61,7 +61,8 @@
             record.emplace(is_repeatable ? Delivery::Repeatability::Repeatable : Delivery::Repeatability::AtMostOnce);
         VERIFY(record->may_dispatch());
         record->about_to_send();
-        auto answer = Platform::call_http(admitted.address, to_question(*call, admitted.organisation), call->deadline);
+        auto answer
+            = Platform::call_http(admitted.address, to_backend_request(*call, admitted.organisation), call->deadline);
         auto was_turned_away = answer && answer.value().headers.contains(not_started_header);
         if (answer && !was_turned_away) {
             record->completed();
