--- a/Libraries/LibGateway/ServiceCallSession.cpp
+++ b/Libraries/LibGateway/ServiceCallSession.cpp
@@ -63,15 +63,15 @@
         record->about_to_send();
         auto answer
             = Platform::call_http(admitted.address, to_backend_request(*call, admitted.organisation), call->deadline);
-        auto was_turned_away = answer && answer.value().headers.contains(not_started_header);
-        if (answer && !was_turned_away) {
+        auto was_rejected = answer && answer.value().headers.contains(not_started_header);
+        if (answer && !was_rejected) {
             record->completed();
             this->gateway.services().post_ended(
                 call, record->outcome(), "status " + std::to_string(answer.value().status));
             send_response(response, answer.value());
             return;
         }
-        if (was_turned_away || answer.error().progress == Platform::CallProgress::NothingSent)
+        if (was_rejected || answer.error().progress == Platform::CallProgress::NothingSent)
             record->confirmed_not_started();
         if (!record->may_dispatch()) {
             this->gateway.services().post_ended(call, record->outcome(), answer.error().detail);
