--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -182,10 +182,10 @@
         && found->second.attempt == AttemptNumber(reply.attempt());
     if (!is_awaited) {
         // A late answer: the place it holds on the engine is given back, unless it is the one that was taken.
-        auto is_the_taken_one = found != this->generations.end()
+        auto is_current_placement = found != this->generations.end()
             && found->second.attempt == AttemptNumber(reply.attempt())
             && found->second.engine == EngineId(reply.engine());
-        if (reply.engine().empty() || is_the_taken_one)
+        if (reply.engine().empty() || is_current_placement)
             return;
         wire::Envelope envelope;
         auto* finished = envelope.mutable_finished();
