--- a/Libraries/LibOperator/OperatorLoop.cpp
+++ b/Libraries/LibOperator/OperatorLoop.cpp
@@ -15,7 +15,7 @@
 
 using Core::EventNumber;
 
-static constexpr Duration collection_patience = 1s;
+static constexpr Duration collection_timeout = 1s;
 static constexpr size_t longest_change_id = 128;
 
 static grpc::StatusCode status_code(ErrorKind kind)
@@ -260,7 +260,7 @@
         this->finish_collection(correlation);
         return;
     }
-    this->node.loop().after(collection_patience, [this, correlation] { this->finish_collection(correlation); });
+    this->node.loop().after(collection_timeout, [this, correlation] { this->finish_collection(correlation); });
 }
 
 void OperatorLoop::finish_collection(u64 correlation)
