--- a/Libraries/LibOperator/OperatorLoop.cpp
+++ b/Libraries/LibOperator/OperatorLoop.cpp
@@ -16,7 +16,7 @@
 using Core::EventNumber;
 
 static constexpr Duration collection_timeout = 1s;
-static constexpr size_t longest_change_id = 128;
+static constexpr size_t max_change_id_bytes = 128;
 
 static grpc::StatusCode status_code(ErrorKind kind)
 {
@@ -169,7 +169,7 @@
 
 void OperatorLoop::apply(wire::ApplyRequest const& request, OperatorIdentity const& identity, ApplyDone done)
 {
-    if (request.change_id().empty() || request.change_id().size() > longest_change_id) {
+    if (request.change_id().empty() || request.change_id().size() > max_change_id_bytes) {
         done(Error {
             ErrorKind::InvalidRequest, "change_id must be 1 to 128 bytes; choose one and keep it for repeats", {} });
         return;
