--- a/Libraries/LibOperator/OperatorCalls.h
+++ b/Libraries/LibOperator/OperatorCalls.h
@@ -15,7 +15,7 @@
 grpc::Status to_status(Error const&);
 
 /// Entries read from the log at once for a watcher.
-static constexpr size_t most_entries_at_once = 200;
+static constexpr size_t max_entries_per_read = 200;
 
 /// What the completion queue gives back. Only the loop touches it.
 class OperatorLoop::Tag {
@@ -153,7 +153,7 @@
         auto& platform = this->owner.node.platform();
         this->owner.node.background().submit(
             [&platform, after = this->sent_revision] {
-                return Configuration::ConfigurationLog(platform).read_after(after, most_entries_at_once);
+                return Configuration::ConfigurationLog(platform).read_after(after, max_entries_per_read);
             },
             [this](Result<std::vector<wire::LogEntry>> entries) {
                 this->is_reading = false;
