--- a/Libraries/LibOperator/OperatorLoop.cpp
+++ b/Libraries/LibOperator/OperatorLoop.cpp
@@ -143,8 +143,8 @@
         });
     new UnaryCall<wire::ExplainRequest, wire::ExplainReply>(
         *this, &Service::RequestExplain, OperatorRole::Viewer, [this](auto const& request, auto const&, auto done) {
-            constexpr u64 most_events = 200;
-            this->collect_events(most_events, request.generation(), [done](auto events) {
+            constexpr u64 max_events = 200;
+            this->collect_events(max_events, request.generation(), [done](auto events) {
                 wire::ExplainReply reply;
                 reply.mutable_events()->Swap(events.mutable_events());
                 done(std::move(reply));
