--- a/Libraries/LibOperator/OperatorCalls.h
+++ b/Libraries/LibOperator/OperatorCalls.h
@@ -34,10 +34,10 @@
     using Done = std::function<void(Result<Reply>)>;
     using Handler = std::function<void(Request const&, OperatorIdentity const&, Done)>;
 
-    UnaryCall(OperatorLoop& owner, RequestFunction request_function, OperatorRole needed, Handler handler)
+    UnaryCall(OperatorLoop& owner, RequestFunction request_function, OperatorRole required_role, Handler handler)
         : owner(owner)
         , request_function(request_function)
-        , needed(needed)
+        , required_role(required_role)
         , handler(std::move(handler))
         , responder(&this->context)
     {
@@ -53,11 +53,11 @@
         }
         // The next call of this kind is awaited before this one is served.
         if (!this->owner.is_stopping)
-            new UnaryCall(this->owner, this->request_function, this->needed, this->handler);
+            new UnaryCall(this->owner, this->request_function, this->required_role, this->handler);
         auto identity = this->owner.authenticate(this->context);
         if (!identity)
             this->answer(identity.error());
-        else if (identity.value().role < this->needed)
+        else if (identity.value().role < this->required_role)
             this->answer(Error {
                 ErrorKind::Forbidden, "operator '" + identity.value().name + "' may only look; ask an editor", {} });
         else
@@ -76,7 +76,7 @@
 
     OperatorLoop& owner;
     RequestFunction request_function;
-    OperatorRole needed;
+    OperatorRole required_role;
     Handler handler;
     grpc::ServerContext context;
     Request request;
