--- a/Services/GatewayServer/main.cpp
+++ b/Services/GatewayServer/main.cpp
@@ -9,8 +9,8 @@
 
 static constexpr Duration drain_check_period = 50ms;
 
-struct GatewayPart {
-    GatewayPart(Node::Node& node, Gateway::GatewaySettings const& settings)
+struct GatewayService {
+    GatewayService(Node::Node& node, Gateway::GatewaySettings const& settings)
         : gateway(node, settings)
         , frontend(this->gateway, settings)
     {
@@ -22,7 +22,7 @@
 
 /// A planned stop: not ready at once, then no new connections once the balancer has noticed, then the end of every
 /// open request, then the end of the process.
-static void stop_when_drained(Node::Node& node, GatewayPart& part, Gateway::GatewaySettings const& settings)
+static void stop_when_drained(Node::Node& node, GatewayService& part, Gateway::GatewaySettings const& settings)
 {
     node.begin_leaving();
     node.loop().after(settings.balancer_lag, [&node, &part] {
@@ -41,7 +41,7 @@
     if (only_check)
         return success();
     return Node::serve_until_stopped(settings.node, [&](Node::Node& node) -> Result<Node::BeginStop> {
-        auto part = std::make_shared<GatewayPart>(node, settings);
+        auto part = std::make_shared<GatewayService>(node, settings);
         return Node::BeginStop([&node, &settings, part] { stop_when_drained(node, *part, settings); });
     });
 }
