--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -241,7 +241,7 @@
         generation.exchange->end_stream();
 }
 
-void PlatformRunner::end()
+void PlatformRunner::terminate()
 {
     this->terminated = true;
     this->server->stop_accepting();
@@ -260,7 +260,7 @@
         this->begin_generation(exchange, 0);
     else
         this->hanging.push_back(exchange);
-    Http::asio::post(this->loop, [this] { this->end(); });
+    Http::asio::post(this->loop, [this] { this->terminate(); });
 }
 
 void PlatformRunner::copy(Http::Exchange& exchange)
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -74,7 +74,7 @@
     /// Plain answers are this long in the making.
     void set_work_time(Duration duration) { this->work_time = duration; }
     /// Breaks every connection and takes no more, as a process that ends does.
-    void end();
+    void terminate();
     /// Engines hand copies to each other by themselves; here whoever makes them carries each to its target. False when
     /// there is no way there: the copy is then refused.
     std::function<bool(std::string const& target_address, std::string const& handle, u64 events_made)> on_copy;
