--- a/StandIns/Common/HttpStandIn.h
+++ b/StandIns/Common/HttpStandIn.h
@@ -20,12 +20,12 @@
 
 using HttpHandler = std::function<void(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse&)>;
 
-/// An HTTP server on one address that hands every request to one function, a thread for each connection.
+/// An HTTP server on one address that passes every request to one handler function. Uses one thread per connection.
 class HttpStandIn {
 public:
     HttpStandIn(Address const& listen, HttpHandler handler);
     ~HttpStandIn();
-    /// The port in use, for when the address says 0.
+    /// The bound port; differs from the configured one if that is 0.
     [[nodiscard]] u16 port() const { return this->server->port(); }
     [[nodiscard]] Address address() const { return Address("127.0.0.1:" + std::to_string(this->port())); }
 
@@ -39,7 +39,7 @@
 std::string path_of(Poco::Net::HTTPServerRequest const&);
 void send_response(Poco::Net::HTTPServerResponse&, int status, std::string const& body,
     std::map<std::string, std::string> const& headers = {});
-/// Closes the connection without an answer.
+/// Closes the connection without sending a response.
 void close_connection(Poco::Net::HTTPServerRequest&);
 
 }
--- a/StandIns/Common/StandInMain.h
+++ b/StandIns/Common/StandInMain.h
@@ -11,7 +11,8 @@
 
 namespace StandIns {
 
-/// Flags and signals of a stand-in's main(). wait() on the result returns when the process is told to stop.
+/// Parses the flags and installs the signal handlers of a stand-in's main(). wait() on the result returns when the
+/// process receives a stop signal.
 Core::StopSignal prepare(int argc, char** argv, std::string const& usage);
 
 }
--- a/StandIns/FakeEngine/FakeEngine.cpp
+++ b/StandIns/FakeEngine/FakeEngine.cpp
@@ -99,7 +99,7 @@
 void FakeEngine::wait_for_step(std::unique_lock<std::mutex>& lock, Duration duration)
 {
     auto began = AK::BootClock::now();
-    // The scale may be changed, and the stand-in stopped, in the middle of a long step.
+    // The time scale may change, or the stand-in may be stopped, during a long step.
     while (!this->stopping && AK::BootClock::now() < began + this->scaled(duration))
         this->changed.wait_until(lock, std::min(began + this->scaled(duration), AK::BootClock::now() + max_idle_wait));
 }
@@ -202,10 +202,10 @@
     else if (action == "thaw")
         this->is_frozen = false;
     else if (action == "cut")
-        // Every open stream ends in the middle; what runs goes on.
+        // Closes every open stream; the executions continue.
         ++this->disconnect_count;
     else if (action == "forget") {
-        // As after a restart: what ran is gone.
+        // Simulates a restart, after which all executions are lost.
         for (auto& [generation, execution] : this->executions) {
             execution->is_cancelled = true;
             this->engine.cancel(execution->key);
@@ -234,12 +234,12 @@
             send_response(response, 503, "{}", { { "Lilactiller-Not-Started", "leaving" } });
             return;
         }
-        auto& fenced = this->fenced_attempts[generation];
-        if (attempt <= fenced) {
+        auto& fenced_attempt = this->fenced_attempts[generation];
+        if (attempt <= fenced_attempt) {
             send_response(response, 409, "{}", { { "Lilactiller-Not-Started", "fenced" } });
             return;
         }
-        fenced = attempt;
+        fenced_attempt = attempt;
         if (auto older = this->executions.find(generation); older != this->executions.end()) {
             older->second->is_cancelled = true;
             this->engine.cancel(older->second->key);
@@ -286,10 +286,10 @@
     auto attempt = static_cast<u32>(std::stoul(query["attempt"]));
     std::lock_guard lock(this->mutex);
     auto found = this->executions.find(generation);
-    // A stream attached later has taken the generation over: an earlier one no longer speaks for it.
-    auto is_taken_over = found != this->executions.end() && query.contains("attachment")
+    // A cancellation from an earlier attachment is ignored once a later stream has attached to the generation.
+    auto is_superseded = found != this->executions.end() && query.contains("attachment")
         && std::stoull(query["attachment"]) < found->second->attachments;
-    if (!is_taken_over) {
+    if (!is_superseded) {
         this->fenced_attempts[generation] = std::max(this->fenced_attempts[generation], attempt);
         if (found != this->executions.end() && found->second->attempt <= attempt) {
             found->second->is_cancelled = true;
@@ -303,7 +303,7 @@
 bool FakeEngine::write_new_tokens(
     Response&, std::ostream& output, Execution& execution, u64& next_offset, bool& is_done)
 {
-    std::vector<std::string> fresh;
+    std::vector<std::string> new_tokens;
     bool is_finished = false;
     u64 total = 0;
     {
@@ -315,11 +315,11 @@
         if (execution.is_cancelled || this->stopping)
             return false;
         auto from = std::min<size_t>(next_offset, execution.tokens.size());
-        fresh.assign(execution.tokens.begin() + static_cast<std::ptrdiff_t>(from), execution.tokens.end());
+        new_tokens.assign(execution.tokens.begin() + static_cast<std::ptrdiff_t>(from), execution.tokens.end());
         is_finished = execution.is_finished;
         total = execution.tokens.size();
     }
-    for (auto const& token : fresh) {
+    for (auto const& token : new_tokens) {
         Object object;
         object.set("attempt", execution.attempt);
         object.set("execution", execution.name);
@@ -327,7 +327,7 @@
         object.set("token", token);
         output << "data: " << to_text(object) << "\n\n";
     }
-    if (fresh.empty())
+    if (new_tokens.empty())
         output << ": keep-alive\n\n";
     if (is_finished) {
         output << "data: {\"total\":" << total << "}\n\n";
--- a/StandIns/FakeEngine/FakeEngine.h
+++ b/StandIns/FakeEngine/FakeEngine.h
@@ -24,35 +24,36 @@
     std::string name;
     std::string model;
     EngineModel::EngineParameters parameters;
-    /// Steps take this many times what the model says.
+    /// Factor by which a step's duration is multiplied, relative to the engine model.
     double time_scale { 1 };
-    /// Reports are this old when they are given out.
+    /// Age of the load reports that are returned.
     Duration report_age { 0 };
-    /// Whether orders with an epoch or revision lower than one seen are refused.
+    /// Whether orders with a lower epoch or revision than one already seen are refused.
     bool checks_epochs { true };
-    /// Called after anything changed that a test may wait for. Any thread.
+    /// Called after every state change that a test may wait for. May be called on any thread.
     std::function<void()> on_change {};
-    /// Each execution is appended to this file as it begins, with all the tokens it would give if it ran to its end, so
-    /// that the history outlives the process.
+    /// Each execution is appended to this file when it starts, with all tokens that it would produce if it completed.
+    /// The history therefore survives the process.
     std::string history_path {};
-    /// A generation to which no stream is attached for so long is stopped.
+    /// A generation without an attached stream is stopped after this time.
     Duration orphan_limit { 10s };
 };
 
-/// A model engine over HTTP. Paths: POST /v1/generations, GET /v1/generations/ID/stream, DELETE /v1/generations/ID,
-/// GET /v1/load, POST /v1/orders; and for tests /control/... as serve_control() has them. Output lengths come from the
-/// prompt: "[tokens=N]", or drawn from its bytes.
+/// A simulated model engine with an HTTP interface. Paths: POST /v1/generations, GET /v1/generations/ID/stream,
+/// DELETE /v1/generations/ID, GET /v1/load and POST /v1/orders; tests also use /control/ACTION, see control(). The
+/// output length is taken from "[tokens=N]" in the prompt; without it, it is drawn at random with a hash of the prompt
+/// as seed.
 class FakeEngine {
 public:
     FakeEngine(Address const& listen, FakeEngineOptions);
     ~FakeEngine();
 
     [[nodiscard]] Address address() const { return this->server->address(); }
-    /// A line of JSON for each execution begun here, with its tokens so far.
+    /// One line of JSON for each execution started here, with the tokens that it has produced so far.
     std::string history();
-    /// As the control call of this name, for use in the same process as a test.
+    /// Does the same as the request /control/ACTION, for tests that run in the same process.
     void control(std::string const& action, std::map<std::string, std::string> const& query);
-    /// Orders carried out, as "epoch:revision".
+    /// The orders that were carried out, as "epoch:revision".
     std::vector<std::string> orders();
 
 private:
@@ -85,10 +86,10 @@
     [[nodiscard]] Duration scaled(Duration) const;
     void apply_step_events(std::vector<EngineModel::StepEvent> const&);
     void stop_orphans();
-    /// The token at `offset`, which differs between executions, so that mixed outputs show.
-    /// Wakes the streams that wait, and whoever watches the stand-in.
+    /// Notifies the waiting streams and calls options.on_change.
     void notify_change();
     void write_plan(Execution const&, i64 output_tokens);
+    /// The token at `offset`. Differs between executions, so that tests detect mixed outputs.
     [[nodiscard]] std::string token_text(u64 key, size_t offset) const;
     void wait_while_frozen();
     std::string load_json(u64 after_cache_sequence);
@@ -106,7 +107,7 @@
     std::vector<std::string> orders_done;
     u64 highest_epoch { 0 };
     u64 highest_revision { 0 };
-    // Sequence number of the first one kept, and the events.
+    /// Number of events removed from the front of `cache_events`; also the sequence number of its first event.
     u64 cache_events_dropped { 0 };
     std::deque<std::pair<u64, bool>> cache_events;
     std::deque<std::pair<Instant, EngineModel::EngineLoad>> past_loads;
--- a/StandIns/FakeEngine/main.cpp
+++ b/StandIns/FakeEngine/main.cpp
@@ -8,13 +8,13 @@
 #include <StandIns/FakeEngine/FakeEngine.h>
 #include <gflags/gflags.h>
 
-DEFINE_string(listen, "127.0.0.1:9100", "address");
-DEFINE_string(name, "engine", "name, part of the names of its executions");
-DEFINE_string(model, "", "model it serves");
+DEFINE_string(listen, "127.0.0.1:9100", "address to listen on");
+DEFINE_string(name, "engine", "name of the engine, and prefix of the names of its executions");
+DEFINE_string(model, "", "model that it serves");
 DEFINE_int64(capacity_tokens, 24000, "memory for prompts and outputs, in tokens");
-DEFINE_double(time_scale, 1, "steps take this many times what the model says");
-DEFINE_int32(report_age_milliseconds, 0, "how old load reports are when given out");
-DEFINE_string(history, "", "file to append each execution to as it begins");
+DEFINE_double(time_scale, 1, "factor on the duration of a step, relative to the engine model");
+DEFINE_int32(report_age_milliseconds, 0, "age of the load reports that are returned");
+DEFINE_string(history, "", "file to which each execution is appended when it starts");
 DEFINE_bool(checks_epochs, true, "whether orders with an older epoch are refused");
 
 int main(int argc, char** argv)
--- a/StandIns/FakePlatform/FakePlatform.h
+++ b/StandIns/FakePlatform/FakePlatform.h
@@ -16,26 +16,26 @@
 
 enum class PlatformFault : u8 {
     None,
-    /// Answers 503 and does nothing.
+    /// Responds with status 503 without carrying out the request.
     Unavailable,
-    /// Does what is asked, then hangs up without an answer.
+    /// Carries out the request, then closes the connection without a response.
     LoseResponses,
-    /// Hangs up at once, as when the link is cut.
+    /// Closes the connection immediately, as if the link were down.
     Disconnect,
-    /// Holds each request for a while, then serves it.
+    /// Delays each request, then serves it.
     Slow,
 };
 
-/// The platform's table service, object store and host list. Each failure domain gets an address of its own, so that
-/// its link can fail alone. Paths: /table/row, /table/scan, /table/commit, /object/NAME, /hosts; and for tests
-/// /control/fault?mode=none|unavailable|lose_answers|cut|slow&count=N (0 for ever), /control/hosts (PUT the list) and
-/// /control/counts.
+/// Simulates the platform's table service, object store and host list. Each failure domain has its own address, so that
+/// its link can fail independently. Paths: /table/row, /table/scan, /table/commit, /object/NAME and /hosts; tests also
+/// use /control/fault?mode=none|unavailable|lose_answers|cut|slow&count=N (N requests; 0 for no limit), /control/hosts
+/// (PUT the list) and /control/counts.
 class FakePlatform {
 public:
-    /// `host_list_lag`: how long a new host list takes to show.
+    /// `host_list_lag` is the delay until a new host list is served.
     FakePlatform(std::vector<Address> const& listen, Duration host_list_lag);
 
-    /// For use in the same process as a test.
+    /// Does the same as /control/fault, for tests that run in the same process.
     void set_fault(size_t link, PlatformFault fault, u64 count = 0);
     void set_hosts(std::string const& json);
     [[nodiscard]] Address address(size_t link) const { return this->links[link]->server->address(); }
--- a/StandIns/FakePlatform/main.cpp
+++ b/StandIns/FakePlatform/main.cpp
@@ -9,8 +9,8 @@
 #include <gflags/gflags.h>
 #include <sstream>
 
-DEFINE_string(listen, "127.0.0.1:9000", "addresses, one for each failure domain, with commas between");
-DEFINE_int32(host_list_lag_milliseconds, 1000, "how long a new host list takes to show");
+DEFINE_string(listen, "127.0.0.1:9000", "comma-separated addresses to listen on, one for each failure domain");
+DEFINE_int32(host_list_lag_milliseconds, 1000, "delay until a new host list is served");
 
 int main(int argc, char** argv)
 {
--- a/StandIns/FakeService/FakeService.h
+++ b/StandIns/FakeService/FakeService.h
@@ -15,20 +15,20 @@
 
 enum class ServiceFault : u8 {
     None,
-    /// Turns the call away, saying that it was not started.
+    /// Rejects the call and reports that it was not started.
     Reject,
-    /// Runs the call, then hangs up without an answer.
+    /// Runs the call, then closes the connection without a response.
     LoseResponse,
-    /// Hangs up without running the call.
+    /// Closes the connection without running the call.
     CloseBeforeRun,
 };
 
-/// A plain service that counts its executions. Any path but /control/ runs; the body that comes back names the path.
-/// For tests: /control/fault?mode=none|turn_away|lose_answer|hang_up_before&count=N (0 for ever), and
-/// /control/history, a line for each execution: call, idempotency key, path.
+/// A plain service that records its executions. A request to any path outside /control/ counts as an execution; the
+/// response body contains the path. For tests: /control/fault?mode=none|turn_away|lose_answer|hang_up_before&count=N (N
+/// requests; 0 for no limit), and /control/history, which returns one line per execution: call, idempotency key, path.
 class FakeService {
 public:
-    /// Executions are also appended to the file at `history_path`, if one is named, before they are answered.
+    /// If `history_path` is not empty, each execution is appended to that file before the response is sent.
     explicit FakeService(Address const& listen, std::string name = "service", std::string history_path = "");
 
     [[nodiscard]] Address address() const { return this->server->address(); }
--- a/StandIns/FakeService/main.cpp
+++ b/StandIns/FakeService/main.cpp
@@ -8,9 +8,9 @@
 #include <StandIns/FakeService/FakeService.h>
 #include <gflags/gflags.h>
 
-DEFINE_string(listen, "127.0.0.1:9200", "address");
-DEFINE_string(name, "service", "name, for its history");
-DEFINE_string(history, "", "file to append each execution to");
+DEFINE_string(listen, "127.0.0.1:9200", "address to listen on");
+DEFINE_string(name, "service", "name of the server, written to its history");
+DEFINE_string(history, "", "file to which each execution is appended");
 
 int main(int argc, char** argv)
 {
--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -12,17 +12,17 @@
 
 namespace Json = boost::json;
 
-/// Names the caller's attempt, in requests and in their answers.
+/// The caller's attempt, in requests and responses.
 static constexpr auto attempt_header = "Lilactiller-Attempt-Id";
-/// Only generations carry it.
+/// Present only in requests for generations.
 static constexpr auto usage_header = "Lilactiller-Token-Usage";
-/// Names the copy that a run goes on from.
+/// The copy from which a run resumes.
 static constexpr auto copy_header = "Kv-From";
-/// Names the runner that an answer comes from.
+/// The runner that sent a response.
 static constexpr auto instance_header = "Lilactiller-Instance-Id";
-/// Names the runner that a request is meant for.
+/// The runner that a request is addressed to.
 static constexpr auto target_header = "Lilactiller-Target-Instance";
-/// The last event that the caller has, where a run goes on from a copy.
+/// The last event that the caller has received, for a run that resumes from a copy.
 static constexpr auto last_event_header = "Last-Event-Id";
 
 PlatformRunner::PlatformRunner(Http::asio::io_context& loop, Http::tcp::endpoint endpoint, std::string id)
@@ -117,7 +117,7 @@
 
 void PlatformRunner::count_run(Http::Request const& request)
 {
-    // Going on from a copy is the same run.
+    // Resuming from a copy continues the same run.
     if (request.count(copy_header) == 0)
         ++this->run_counts[std::string(request[attempt_header])];
 }
@@ -253,7 +253,7 @@
         exchange->abort();
 }
 
-/// A generation's answer has begun by then; its first event never comes.
+/// The response of a generation is started first, but never gets an event.
 void PlatformRunner::terminate_during(std::shared_ptr<Http::Exchange> const& exchange)
 {
     if (exchange->request().count(usage_header) > 0)
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -14,32 +14,32 @@
 
 namespace StandIn {
 
-/// One of the platform's runners: a plain service, or an engine whose generations can be copied to another engine and
-/// go on there. Runs on the loop of whoever makes it. Whoever makes it decides when events are made.
+/// Simulates one of the platform's runners: a plain service, or an engine whose generations can be copied to another
+/// engine and continue there. Runs on its owner's event loop; the owner decides when events are produced.
 class PlatformRunner {
 public:
-    /// Requests at once, as its row says; operators' configurations for it name the same.
+    /// Maximum number of concurrent requests, as its row states. Operators' configurations for it use the same value.
     static constexpr u32 slots = 8;
-    /// Tokens that an engine's memory holds, as /report says.
+    /// Capacity of an engine's memory in tokens, as returned by /report.
     static constexpr u32 kv_tokens = 30'000;
 
-    /// What the next request gets, once.
+    /// A fault that is applied to one request.
     enum class Fault : u8 {
-        /// A refusal that says that the request has not run.
+        /// Refuses the request and reports that it has not run.
         NotRun,
-        /// The address belongs to another runner.
+        /// Responds as if the address belonged to another runner.
         Misdirected,
-        /// It runs, and the connection ends without an answer.
+        /// Runs the request, then closes the connection without a response.
         LoseResponse,
-        /// It runs, and the answer is a failure.
+        /// Runs the request, then responds with a failure.
         Fail,
-        /// It runs, and the answer carries no signature.
+        /// Runs the request, then responds without a signature.
         Unsigned,
-        /// It never answers.
+        /// Runs the request and never responds.
         Hang,
     };
 
-    /// A request as it came in.
+    /// A request as it was received.
     struct Received {
         std::string attempt;
         std::string target;
@@ -50,35 +50,36 @@
     PlatformRunner(Http::asio::io_context&, Http::tcp::endpoint, std::string id);
 
     void add_fault(Fault fault) { this->faults.push_back(fault); }
-    /// Makes the next event of every generation that runs here, and ends those that have all of `planned_events`.
+    /// Produces the next event of every generation that runs here, and ends those that have reached `planned_events`.
     void make_events();
-    /// Ends every generation that runs here, whole.
+    /// Completes every generation that runs here.
     void finish_all();
-    /// How many events a generation has, by its attempt; without it generations end by finish_all() only.
+    /// Returns the total number of events of a generation. If unset, generations only end through finish_all().
     std::function<u64(std::string const& attempt)> planned_events;
-    /// Told of each request that names this runner, before it runs or is refused.
+    /// Called for each request addressed to this runner, before it runs or is refused.
     std::function<void(Received const&)> on_received;
-    /// Where hosts and other engines are told to reach it, if that is not where it listens.
+    /// Sets the address that is advertised to hosts and other engines, if it differs from the listening address.
     void set_advertised_address(std::string address) { this->advertised_address = std::move(address); }
-    /// Requests whose body is this one end its process as soon as they run.
+    /// Requests with this body terminate the simulated process as soon as they run.
     void set_fatal_body(std::string body) { this->fatal_body = std::move(body); }
-    /// What its answers name as the requests a second that it takes from all hosts; nothing for none.
+    /// Sets the limit, in requests per second from all hosts together, that its responses state. Empty for no limit.
     void set_limit(std::optional<std::string> per_second) { this->limit = std::move(per_second); }
-    /// While set it turns every request away as not run and asks the sender for back-off: the value of Retry-After.
+    /// While `retry_after` is set, rejects every request as not run and asks the sender to back off, with `retry_after`
+    /// as the value of Retry-After.
     void reject_requests(std::optional<std::string> retry_after) { this->back_off = std::move(retry_after); }
-    /// Told of each request that is turned away so.
+    /// Called for each request that is rejected because of reject_requests().
     std::function<void(Received const&)> on_rejected;
-    /// Whether all its answers say that it leaves.
-    void announce_leaving(bool says_so) { this->announces_leaving = says_so; }
+    /// Sets whether all its responses announce that it is leaving.
+    void announce_leaving(bool enabled) { this->announces_leaving = enabled; }
     [[nodiscard]] bool is_announcing_leaving() const { return this->announces_leaving; }
-    /// Plain answers are this long in the making.
+    /// Sets the delay before a plain response is sent.
     void set_work_time(Duration duration) { this->work_time = duration; }
-    /// Breaks every connection and takes no more, as a process that ends does.
+    /// Closes every connection and accepts no more, as a terminated process does.
     void terminate();
-    /// Engines hand copies to each other by themselves; here whoever makes them carries each to its target. False when
-    /// there is no way there: the copy is then refused.
+    /// Delivers a copy to its target engine. Real engines send copies to each other directly; here the owner does it.
+    /// Returns false if the target is unreachable, in which case the copy is refused.
     std::function<bool(std::string const& target_address, std::string const& handle, u64 events_made)> on_copy;
-    /// Takes a copy that another engine made after so many events; false once its process has ended.
+    /// Stores a copy that another engine made after `events_made` events. Returns false after terminate().
     bool receive_copy(std::string const& handle, u64 events_made)
     {
         if (this->terminated)
@@ -86,28 +87,28 @@
         this->copies[handle] = events_made;
         return true;
     }
-    /// The Unix millisecond of its process's start, which its row and /report name.
+    /// Sets the start time of the simulated process in Unix milliseconds, which its row and /report state.
     void set_start(i64 milliseconds) { this->start = milliseconds; }
-    /// What /report says of the time that is left; nothing if it does not leave.
+    /// Sets the time until it leaves, as returned by /report. Empty if it is not leaving.
     void set_leaves_in(std::optional<u64> milliseconds) { this->leaves_in = milliseconds; }
 
     [[nodiscard]] bool is_terminated() const { return this->terminated; }
     [[nodiscard]] std::vector<Received> const& received() const { return this->requests; }
-    /// Attempts whose memory was to be copied, in the order in which that was asked for.
+    /// Attempts whose memory a host ordered to be copied, in the order of the requests.
     [[nodiscard]] std::vector<std::string> const& copy_orders() const { return this->ordered_copies; }
-    /// Requests that were worked on here, by attempt.
+    /// Number of runs here, by attempt.
     [[nodiscard]] std::map<std::string, u32> const& runs() const { return this->run_counts; }
     [[nodiscard]] bool is_running(std::string const& attempt) const { return this->generations.contains(attempt); }
-    /// Attempts of the generations that run here.
+    /// Attempts of the generations that are running here.
     [[nodiscard]] std::vector<std::string> running() const;
     [[nodiscard]] size_t running_count() const { return this->generations.size(); }
     /// As "ip:port".
     [[nodiscard]] std::string address() const;
     [[nodiscard]] std::string const& id() const { return this->name; }
-    /// Generations and hanging requests whose connection was closed before their end.
+    /// Number of generations and hanging requests whose connection was closed before they completed.
     [[nodiscard]] u32 dropped_count() const { return this->dropped; }
 
-    /// The value of the row that a runner keeps of itself, in JSON; `zone` is its failure domain.
+    /// The value, in JSON, of the row that a runner publishes about itself; `zone` is its failure domain.
     [[nodiscard]] std::string row(std::string const& service, std::string const& zone, bool is_draining = false) const;
 
 private:
@@ -121,10 +122,11 @@
     void count_run(Http::Request const&);
     bool carry_out_fault(std::shared_ptr<Http::Exchange> const&);
     [[nodiscard]] Http::Response refusal() const;
-    /// Puts in what all its answers say of it.
+    /// Sets the header that announces that the runner is leaving, if it is.
     void set_leaving_header(Http::Response&) const;
     void run(std::shared_ptr<Http::Exchange> const&);
-    /// How many events the request's run has behind it; nothing when the copy that it goes on from is not here.
+    /// Removes the copy that the request resumes from. Returns the number of events produced before it (0 without a
+    /// copy), or nothing if the copy is not here.
     std::optional<u64> consume_copy(Http::Request const&);
     void begin_generation(std::shared_ptr<Http::Exchange> const&, u64 events_before);
     void terminate_during(std::shared_ptr<Http::Exchange> const&);
@@ -142,7 +144,7 @@
     std::vector<Received> requests;
     std::map<std::string, u32> run_counts;
     std::map<std::string, Generation> generations;
-    /// By handle: the events made when the copy was taken, here as the target or the source.
+    /// The number of events at the time of the copy, by handle, for copies that this runner received.
     std::map<std::string, u64> copies;
     bool terminated { false };
     std::optional<std::string> fatal_body;
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -14,15 +14,15 @@
 
 namespace StandIn {
 
-/// The platform's metadata store as PROTOCOL describes it, as far as hosts use it: GET /rows-get, GET /rows-feed with
-/// waiting, and POST /rows-tx. Runs on the loop of whoever makes it, and takes faults.
+/// Simulates the part of the platform's metadata store (see PROTOCOL) that hosts use: GET /rows-get, GET /rows-feed
+/// with long polling, and POST /rows-tx. Runs on its owner's event loop. Supports fault injection.
 class PlatformStore {
 public:
     enum class Mode : u8 {
         Serving,
-        /// Takes connections and requests, and says nothing.
+        /// Accepts connections and requests, but never responds.
         Silent,
-        /// Answers 503 to everything.
+        /// Responds to every request with status 503.
         Busy,
     };
 
@@ -33,9 +33,9 @@
     [[nodiscard]] std::map<std::string, std::string> rows(std::string const& table) const;
 
     void set_mode(Mode);
-    /// Changes before now cannot be followed any more, and whoever waits for some is told so.
+    /// Discards all earlier changes. Requests for them, including waiting ones, get the status 410 (Gone).
     void discard_history();
-    /// Answers the next requests with the state of this many versions ago.
+    /// Makes the following responses state a version that is this many versions behind the latest one.
     void set_version_lag(u64 versions) { this->version_lag = versions; }
 
     [[nodiscard]] u64 call_count() const { return this->calls; }
