--- a/Utilities/CallerClient.cpp
+++ b/Utilities/CallerClient.cpp
@@ -17,10 +17,10 @@
 
 using Poco::JSON::Object;
 
-static constexpr Duration patience = 30s;
-static constexpr Duration readiness_patience = 1s;
-static constexpr u32 most_resumes = 20;
-static constexpr Duration pause_before_resume = 100ms;
+static constexpr Duration response_timeout = 30s;
+static constexpr Duration readiness_timeout = 1s;
+static constexpr u32 max_resumes = 20;
+static constexpr Duration resume_backoff = 100ms;
 
 CallerClient::CallerClient(std::vector<Address> gateways, std::string api_key)
     : gateways(std::move(gateways))
@@ -39,8 +39,8 @@
 {
     for (size_t i = 0; i < this->gateways.size(); ++i) {
         auto const& gateway = this->gateways[(first + i) % this->gateways.size()];
-        auto answer = Platform::call_http(gateway, { "GET", "/health/ready", {}, {} }, readiness_patience);
-        if (answer && answer.value().status == Poco::Net::HTTPResponse::HTTP_OK)
+        auto response = Platform::call_http(gateway, { "GET", "/health/ready", {}, {} }, readiness_timeout);
+        if (response && response.value().status == Poco::Net::HTTPResponse::HTTP_OK)
             return first + i;
     }
     return first;
@@ -50,10 +50,10 @@
 {
     Poco::JSON::Parser parser;
     auto object = parser.parse(data).extract<Object::Ptr>();
-    auto own = object->getObject("lilactiller");
+    auto extension = object->getObject("lilactiller");
     auto& result = progress.result;
-    if (own && own->has("outcome")) {
-        result.outcome = own->getValue<std::string>("outcome");
+    if (extension && extension->has("outcome")) {
+        result.outcome = extension->getValue<std::string>("outcome");
         if (auto error = object->getObject("error"))
             result.error = error->getValue<std::string>("type");
         return true;
@@ -64,7 +64,7 @@
     else
         result.gaps.push_back(now - progress.last_token_at);
     progress.last_token_at = now;
-    result.offsets.push_back(own->getValue<Poco::UInt64>("offset"));
+    result.offsets.push_back(extension->getValue<Poco::UInt64>("offset"));
     result.tokens.push_back(object->getArray("choices")->getObject(0)->getValue<std::string>("text"));
     if (on_token)
         on_token(result.tokens.back());
@@ -85,7 +85,7 @@
     std::string const& path, std::string const& body, Duration deadline, OnToken const& on_token)
 {
     auto& result = progress.result;
-    auto connected = Platform::connect_http(gateway, patience);
+    auto connected = Platform::connect_http(gateway, response_timeout);
     if (!connected) {
         result.error = "connection_refused";
         return false;
@@ -127,9 +127,9 @@
     progress.requested_at = AK::BootClock::now();
     if (this->connect_and_read(progress, first, "POST", "/v1/completions", to_text(body), deadline, on_token))
         return progress.result;
-    // The connection broke. Without a resume token nothing was delivered and nothing can be resumed.
-    while (!progress.resume_token.empty() && progress.result.resumes < most_resumes) {
-        std::this_thread::sleep_for(pause_before_resume);
+    // The connection broke. Without a resume token no tokens were delivered, and the generation cannot be resumed.
+    while (!progress.resume_token.empty() && progress.result.resumes < max_resumes) {
+        std::this_thread::sleep_for(resume_backoff);
         auto const& next = this->gateways[(first_gateway + ++progress.result.resumes) % this->gateways.size()];
         auto path = "/v1/generations/" + progress.result.generation
             + "/stream?next_offset=" + std::to_string(progress.result.tokens.size());
@@ -142,16 +142,17 @@
 CallResult CallerClient::call_service(size_t gateway, std::string const& method, std::string const& path,
     std::string const& idempotency_key, std::string const& body)
 {
-    Platform::HttpRequest question { method, path, body, { { "Authorization", "Bearer " + this->api_key } } };
+    Platform::HttpRequest request { method, path, body, { { "Authorization", "Bearer " + this->api_key } } };
     if (!idempotency_key.empty())
-        question.headers["Idempotency-Key"] = idempotency_key;
+        request.headers["Idempotency-Key"] = idempotency_key;
     auto const& chosen = this->gateways[this->ready_gateway(gateway) % this->gateways.size()];
-    auto answer = Platform::call_http(chosen, question, patience);
-    if (!answer)
+    auto response = Platform::call_http(chosen, request, response_timeout);
+    if (!response)
         return {};
     auto header = [&](char const* name) {
-        auto found = answer.value().headers.find(name);
-        return found == answer.value().headers.end() ? std::string() : found->second;
+        auto found = response.value().headers.find(name);
+        return found == response.value().headers.end() ? std::string() : found->second;
     };
-    return { header("Lilactiller-Call"), header("Lilactiller-Outcome"), answer.value().status, answer.value().body };
+    return { header("Lilactiller-Call"), header("Lilactiller-Outcome"), response.value().status,
+        response.value().body };
 }
--- a/Utilities/CallerClient.h
+++ b/Utilities/CallerClient.h
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-/// What one caller saw of one generation.
+/// The result of one generation, as seen by its caller.
 struct GenerationResult {
     std::string generation;
-    /// "completed", "not_run", "may_have_run", or empty when there was no final answer.
+    /// "completed", "not_run" or "may_have_run"; empty if there was no final response.
     std::string outcome;
     int status { 0 };
     std::string error;
@@ -33,8 +33,8 @@
     std::string body;
 };
 
-/// A caller of the gateways: streams generations, resumes them at another gateway when a connection breaks, and makes
-/// plain-service calls. Blocks; one object for each thread.
+/// A client of the gateways: streams generations, resumes them at another gateway when a connection breaks, and makes
+/// plain-service calls. All calls block. Not thread-safe: each thread needs its own object.
 class CallerClient {
 public:
     CallerClient(std::vector<Address> gateways, std::string api_key);
@@ -53,11 +53,12 @@
         Instant last_token_at;
     };
 
-    /// The first gateway from `first` on that says that it is ready, as the platform's balancer would choose; `first`
-    /// when none does.
+    /// Returns the first gateway, starting at `first`, that reports that it is ready; the platform's load balancer
+    /// chooses in the same way. Returns `first` if none is ready.
     size_t ready_gateway(size_t first) const;
-    /// Reads one connection to its end. Says whether a final answer came.
+    /// Reads events from one connection until it ends. Returns whether a final event was received.
     bool read_stream(Progress&, std::istream&, OnToken const&);
+    /// Handles one event. Returns whether it was the final one.
     bool read_event(Progress&, std::string const& data, OnToken const&);
     bool connect_and_read(Progress&, Address const&, std::string const& method, std::string const& path,
         std::string const& body, Duration deadline, OnToken const&);
--- a/Utilities/CommaList.h
+++ b/Utilities/CommaList.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-/// The parts of a flag's value with commas between.
+/// Splits the value of a flag at its commas.
 inline std::vector<std::string> split_at_commas(std::string const& text)
 {
     std::vector<std::string> parts;
--- a/Utilities/EventText.h
+++ b/Utilities/EventText.h
@@ -12,7 +12,7 @@
 #include <sstream>
 #include <string>
 
-/// One event as a line of a time line.
+/// Formats an event as one line of a timeline.
 inline std::string format_record(wire::EventRecord const& event)
 {
     std::ostringstream line;
--- a/Utilities/OperatorClient.cpp
+++ b/Utilities/OperatorClient.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <sstream>
 
-static constexpr Duration call_deadline = 10s;
+static constexpr Duration call_timeout = 10s;
 
 static std::shared_ptr<grpc::ChannelCredentials> credentials(std::string const& root_certificate)
 {
@@ -32,7 +32,7 @@
 {
     context.AddMetadata("authorization", "Bearer " + this->key);
     if (has_deadline)
-        context.set_deadline(std::chrono::system_clock::now() + call_deadline);
+        context.set_deadline(std::chrono::system_clock::now() + call_timeout);
 }
 
 static Result<void> check(grpc::Status const& status)
--- a/Utilities/OperatorClient.h
+++ b/Utilities/OperatorClient.h
@@ -14,10 +14,10 @@
 #include <memory>
 #include <string>
 
-/// A connection to one OperatorServer, for the command-line tools. Calls block.
+/// A client of one OperatorServer, for the command-line tools. All calls block.
 class OperatorClient {
 public:
-    /// `root_certificate` is a PEM file; TLS is spoken when it is named.
+    /// `root_certificate` is the path of a PEM file. TLS is used if it is not empty.
     OperatorClient(std::string const& server, std::string key, std::string const& root_certificate);
 
     Result<wire::ApplyReply> apply(wire::Change const&, std::string const& change_id, u64 expected_revision);
--- a/Utilities/capacitybench.cpp
+++ b/Utilities/capacitybench.cpp
@@ -17,7 +17,7 @@
 #include <iostream>
 #include <malloc.h>
 
-/// Slopes of the parts that can be measured within one process, as lines of JSON. Times are processor time.
+/// Measures how the costs that occur within one process grow with its load. Prints lines of JSON; times are CPU time.
 
 static double processor_seconds()
 {
@@ -26,21 +26,21 @@
     return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
 
-/// Bytes on the heap. Resident memory of whole processes is measured by Meta/capacity.sh.
+/// Bytes allocated on the heap. Meta/capacity.sh measures the resident memory of entire processes.
 static double heap_bytes()
 {
     auto information = mallinfo2();
     return static_cast<double>(information.uordblks + information.hblkhd);
 }
 
-/// Processor microseconds of one call of `work`, over about a quarter of a second.
+/// Mean CPU time of one call of `work` in microseconds, measured over about a quarter of a second.
 template<typename Work>
 static double microseconds_of(Work work)
 {
-    constexpr double enough_seconds = 0.25;
+    constexpr double measurement_seconds = 0.25;
     auto begin = processor_seconds();
     size_t count = 0;
-    while (processor_seconds() - begin < enough_seconds) {
+    while (processor_seconds() - begin < measurement_seconds) {
         work();
         ++count;
     }
@@ -81,8 +81,8 @@
         scheduler.load_report(EngineId("engine-" + std::to_string(i)), {}, now);
     (void)scheduler.tick(now);
     auto memory = heap_bytes() - before;
-    // Time creeps, so that the generations stay as they are: in the middle of their outputs.
-    auto creep = [&] {
+    // Time advances in tiny steps, so that all generations stay in the middle of their outputs.
+    auto tick_briefly = [&] {
         now += 10us;
         (void)scheduler.tick(now);
     };
@@ -92,11 +92,11 @@
         (void)scheduler.admit(now);
         scheduler.finished(submit.generation, AttemptNumber(1), Scheduling::EndReason::Completed, TokenCount(100), now);
     };
-    auto tick = microseconds_of(creep);
+    auto tick = microseconds_of(tick_briefly);
     auto decision = microseconds_of(decide);
-    // The first decision after a tick forecasts every engine anew.
+    // The first decision after a tick recomputes the forecast of every engine.
     auto tick_and_decision = microseconds_of([&] {
-        creep();
+        tick_briefly();
         decide();
     });
     std::cout << R"({"part":"scheduler","engines":)" << engine_count << R"(,"generations":)"
@@ -254,7 +254,7 @@
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("Measures the slopes behind docs/CAPACITY.md that lie within one process.");
+    gflags::SetUsageMessage("Measures the cost slopes for docs/CAPACITY.md that can be measured within one process.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     FLAGS_logtostderr = true;
     google::InitGoogleLogging(argv[0]);
--- a/Utilities/historycheck.cpp
+++ b/Utilities/historycheck.cpp
@@ -12,9 +12,10 @@
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("Checks the promises on what a run left behind.\n\n  historycheck FILE [FILE ...]\n\nThe "
-                            "files are those of loadgen --history, of the stand-ins' /control/history, and of timeline "
-                            "--format history. Exits 1 when a promise was broken.");
+    gflags::SetUsageMessage(
+        "Checks the recorded history of a run against the promises.\n\n  historycheck FILE "
+        "[FILE ...]\n\nThe files are written by loadgen --history, by the stand-ins' "
+        "/control/history, and by timeline --format history. Exits with 1 if a promise was broken.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     History::Record record;
     for (int i = 1; i < argc; ++i) {
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -9,8 +9,8 @@
 #include <LibServing/Reachability.h>
 #include <benchmark/benchmark.h>
 
-/// What an entry host computes by itself again and again, by the number of hosts and engines of the whole system, which
-/// are spread over five failure domains.
+/// Measures the recurring computations of an entry host, by the number of hosts and engines in the system. These are
+/// spread over five failure domains.
 
 using namespace Serving;
 
@@ -26,7 +26,8 @@
     return Address("10." + std::to_string(host % domain_count) + ".0." + std::to_string(host / domain_count) + ":7200");
 }
 
-/// Host 0 of the first domain, which hears all of its own domain and two hosts of each other one.
+/// The view of host 0 of the first domain. It receives messages from all hosts of its own domain and from two hosts of
+/// each remote domain.
 Reachability reach_of_host(i64 hosts)
 {
     Reachability reach(domain_of(0));
@@ -54,7 +55,7 @@
     }
 }
 
-/// Which engines this host asks for their reports: once in 350 ms.
+/// Selects the engines that this host polls for reports. Runs every 350 ms.
 void round_of_reports(benchmark::State& state)
 {
     auto const reach = reach_of_host(state.range(0));
@@ -70,7 +71,7 @@
     }
 }
 
-/// Whether this host reads the platform, and for whom: twenty times a second.
+/// Decides whether this host reads the platform, and for which hosts. Runs 20 times per second.
 void choice_of_reader(benchmark::State& state)
 {
     auto const reach = reach_of_host(state.range(0));
@@ -82,7 +83,7 @@
     }
 }
 
-/// One generation's engine.
+/// Chooses the engine for one generation.
 void placement(benchmark::State& state)
 {
     auto const reach = reach_of_host(state.range(0));
@@ -96,7 +97,7 @@
     }
 }
 
-/// The same with the decision whether it is taken at all.
+/// Decides whether to admit one generation, and chooses its engine.
 void admission(benchmark::State& state)
 {
     auto const reach = reach_of_host(state.range(0));
@@ -111,8 +112,8 @@
     }
 }
 
-/// A whole message of another domain: made there, sent and taken in here. All other domains together send some ten a
-/// second.
+/// Builds, serialises, parses and applies the full state message of a remote domain. All remote domains together send
+/// about ten of these per second.
 void domain_message(benchmark::State& state)
 {
     BackendTable table;
--- a/Utilities/lilacctl.cpp
+++ b/Utilities/lilacctl.cpp
@@ -14,30 +14,30 @@
 #include <random>
 
 DEFINE_string(server, "127.0.0.1:7001", "address of an OperatorServer");
-DEFINE_string(key, "", "operator key; the variable LILAC_OPERATOR_KEY serves when it is empty");
-DEFINE_string(root_certificate, "", "PEM file to check the server's certificate against; TLS when it is set");
-DEFINE_string(change_id, "", "names the change across repeats; drawn at random when it is empty");
-DEFINE_uint64(expected_revision, 0, "refuse unless the configuration is at this revision; 0 means any");
-DEFINE_uint64(after_revision, 0, "watch: begin after this revision");
-DEFINE_uint64(maximum, 500, "events: at most so many from each process");
-DEFINE_uint64(stop_at, 0, "watch: end after this revision; 0 means never");
+DEFINE_string(key, "", "operator key; if empty, the environment variable LILAC_OPERATOR_KEY is used");
+DEFINE_string(root_certificate, "", "PEM file to verify the server's certificate with; enables TLS");
+DEFINE_string(change_id, "", "identifies the change when it is repeated; random if empty");
+DEFINE_uint64(expected_revision, 0, "reject the change unless the configuration is at this revision; 0 means any");
+DEFINE_uint64(after_revision, 0, "watch: start after this revision");
+DEFINE_uint64(maximum, 500, "events: maximum number of events from each process");
+DEFINE_uint64(stop_at, 0, "watch: stop after this revision; 0 means never");
 
-static constexpr auto usage = R"(Operators' command line of lilactiller.
+static constexpr auto usage = R"(Command-line tool for operators of lilactiller.
 
   lilacctl apply FILE         apply the changes in FILE, one JSON object of the schema's Change a line
-  lilacctl diff FILE          show which changes of FILE are not in force yet
+  lilacctl diff FILE          show which changes in FILE are not in force yet
   lilacctl get                show the configuration in force
   lilacctl watch              show changes as they are accepted
   lilacctl members            show the processes of the server's failure domain
-  lilacctl drain SERVER       give a backend server no new work
-  lilacctl undrain SERVER     take that back
+  lilacctl drain SERVER       send a backend server no new work
+  lilacctl undrain SERVER     send a drained backend server new work again
   lilacctl explain GENERATION show why a generation was placed, queued or refused
   lilacctl events             show the newest events of all processes of the failure domain
-  lilacctl hash KEY           print the hash of an API key or operator key, as the configuration wants it)";
+  lilacctl hash KEY           print the hash of an API key or operator key in the form that the configuration uses)";
 
 static Result<void> fail(std::string message) { return Error { ErrorKind::InvalidRequest, std::move(message), {} }; }
 
-static std::string drawn_change_id()
+static std::string random_change_id()
 {
     std::random_device device;
     std::ostringstream id;
@@ -67,14 +67,14 @@
 
 static Result<void> apply_changes(OperatorClient& client, std::vector<wire::Change> const& changes)
 {
-    auto base_id = FLAGS_change_id.empty() ? drawn_change_id() : FLAGS_change_id;
+    auto base_id = FLAGS_change_id.empty() ? random_change_id() : FLAGS_change_id;
     auto expected = FLAGS_expected_revision;
     for (size_t i = 0; i < changes.size(); ++i) {
         auto id = changes.size() == 1 ? base_id : base_id + '/' + std::to_string(i + 1);
         TRY(auto reply, client.apply(changes[i], id, expected));
         std::cout << "revision " << reply.revision() << ' ' << id << (reply.repeated() ? " (accepted before)" : "")
                   << std::endl;
-        // Within one file each change follows the one before it.
+        // Each further change in the file expects the revision of the previous one.
         if (expected > 0)
             expected = reply.revision();
     }
@@ -128,7 +128,7 @@
 {
     TRY(auto reply, client.explain(generation));
     if (reply.events().empty())
-        return fail("no process remembers this generation; check the id, or it is too long ago");
+        return fail("no process has events of this generation; check the id (old events are discarded)");
     for (auto const& event : reply.events())
         std::cout << format_record(event) << std::endl;
     return success();
--- a/Utilities/loadgen.cpp
+++ b/Utilities/loadgen.cpp
@@ -22,18 +22,18 @@
 #include <sstream>
 #include <thread>
 
-DEFINE_string(gateways, "127.0.0.1:8001", "gateways' addresses, with commas between");
-DEFINE_string(keys, "", "API keys, with commas between; requests take them in turn");
-DEFINE_string(route, "summary", "route to ask for");
+DEFINE_string(gateways, "127.0.0.1:8001", "comma-separated addresses of the gateways");
+DEFINE_string(keys, "", "comma-separated API keys, used by the requests in turn");
+DEFINE_string(route, "summary", "route of the generations");
 DEFINE_string(service, "", "plain service to call with a share of the requests; empty for none");
 DEFINE_double(service_share, 0.2, "share of requests that are plain-service calls");
-DEFINE_double(rate, 10, "requests a second, drawn as a Poisson process whatever the answers do");
-DEFINE_int32(requests, 100, "how many requests in all");
-DEFINE_uint32(seed, 1, "seed of arrivals, lengths and choices");
-DEFINE_double(median_output, 60, "median output, in tokens; lengths are log-normal");
-DEFINE_int32(deadline_milliseconds, 10000, "deadline of the first token");
-DEFINE_string(history, "", "file to write what every caller saw, for historycheck");
-DEFINE_string(prompt, "", "make one request with this prompt, print its words as they come, and exit");
+DEFINE_double(rate, 10, "mean arrival rate in requests per second; a Poisson process, independent of the responses");
+DEFINE_int32(requests, 100, "total number of requests");
+DEFINE_uint32(seed, 1, "seed for arrivals, output lengths and choices");
+DEFINE_double(median_output, 60, "median output length in tokens; lengths are log-normally distributed");
+DEFINE_int32(deadline_milliseconds, 10000, "deadline of the first token, in milliseconds");
+DEFINE_string(history, "", "file for the history of what every caller received, for historycheck");
+DEFINE_string(prompt, "", "make one request with this prompt, print its tokens as they arrive, and exit");
 
 static std::string to_line(Poco::JSON::Object const& object)
 {
@@ -72,7 +72,7 @@
     size_t number { 0 };
 };
 
-/// Collects what the callers' threads saw.
+/// Collects the results of all requests. Thread-safe.
 class Report {
 public:
     void add(GenerationResult const& result)
@@ -159,7 +159,7 @@
     return plans;
 }
 
-static void carry_out(Plan const& plan, std::vector<Address> const& gateways, Report& report)
+static void execute(Plan const& plan, std::vector<Address> const& gateways, Report& report)
 {
     CallerClient client(gateways, plan.api_key);
     if (!plan.is_service_call) {
@@ -176,10 +176,10 @@
         report.add(result, "", true);
         return;
     }
-    // The caller repeats a charge whose answer it did not get, at another gateway, with the same key.
+    // If the response to a charge is lost, the caller retries it at another gateway with the same idempotency key.
     auto key = "charge-" + std::to_string(FLAGS_seed) + '-' + std::to_string(plan.number);
-    for (size_t repeat = 0; repeat < 3; ++repeat) {
-        auto result = client.call_service(plan.gateway + repeat, "POST", base + "/charges", key, "{}");
+    for (size_t retry = 0; retry < 3; ++retry) {
+        auto result = client.call_service(plan.gateway + retry, "POST", base + "/charges", key, "{}");
         report.add(result, key, false);
         if (result.outcome == "completed" || result.status == 409)
             return;
@@ -194,7 +194,7 @@
     std::vector<std::thread> threads;
     for (auto const& plan : draw_plans(keys, gateways.size())) {
         std::this_thread::sleep_until(start + plan.at);
-        threads.emplace_back([plan, &gateways, &report] { carry_out(plan, gateways, report); });
+        threads.emplace_back([plan, &gateways, &report] { execute(plan, gateways, report); });
     }
     for (auto& thread : threads)
         thread.join();
@@ -205,15 +205,16 @@
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("Open-loop load for lilactiller's gateways, and histograms of the three measures.\n\n"
-                            "  loadgen --gateways A,B --keys K --rate 10 --requests 100 [--history FILE]");
+    gflags::SetUsageMessage(
+        "Generates open-loop load on lilactiller's gateways and reports outcomes and latency quantiles.\n\n"
+        "  loadgen --gateways A,B --keys K --rate 10 --requests 100 [--history FILE]");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     std::vector<Address> gateways;
     for (auto const& gateway : split_at_commas(FLAGS_gateways))
         gateways.emplace_back(gateway);
     auto keys = split_at_commas(FLAGS_keys);
     if (keys.empty() || gateways.empty()) {
-        std::cerr << "name --gateways and --keys" << std::endl;
+        std::cerr << "--gateways and --keys must not be empty" << std::endl;
         return 2;
     }
     if (FLAGS_prompt.empty())
--- a/Utilities/overloadbench.cpp
+++ b/Utilities/overloadbench.cpp
@@ -10,8 +10,8 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_string(experiment, "Base/overload.yaml", "which ways, patterns, sizes and loads to play");
-DEFINE_string(output, "", "folder for cells.jsonl, table.md and the data of the plots");
+DEFINE_string(experiment, "Base/overload.yaml", "YAML file with the policies, patterns, sizes and loads to simulate");
+DEFINE_string(output, "", "folder for cells.jsonl, table.md and plot.dat");
 
 using namespace OverloadModel;
 
@@ -30,8 +30,8 @@
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("Plays loads beyond what the engines bear on a model of them, in virtual time, with the "
-                            "admission that ships.\n\n  overloadbench --experiment FILE [--output FOLDER]");
+    gflags::SetUsageMessage("Simulates engines under more load than they can handle, in virtual time, with the "
+                            "production admission code.\n\n  overloadbench --experiment FILE [--output FOLDER]");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     auto const experiment = read_experiment(FLAGS_experiment);
     if (!experiment) {
--- a/Utilities/policybench.cpp
+++ b/Utilities/policybench.cpp
@@ -15,12 +15,12 @@
 
 DEFINE_bool(quick, false, "one seed and shorter runs");
 DEFINE_bool(tuning, false, "use the tuning seeds instead of the reporting seeds");
-DEFINE_string(policies, "",
-    "policies to run, with commas between; all when empty; constants vary by forecast:name=value:name=value");
-DEFINE_string(loads, "0.7,0.9,1.0,1.2", "loads, as shares of capacity");
-DEFINE_string(shapes, "toll,hanak", "workload shapes");
-DEFINE_string(variations, "plain,tail,shift,greedy,reclaim,lag,lostcache", "variations of each shape");
-DEFINE_string(output, "", "folder for cells.jsonl and the data of the plots");
+DEFINE_string(
+    policies, "", "comma-separated policies to run; all if empty; forecast:name=value:name=value overrides constants");
+DEFINE_string(loads, "0.7,0.9,1.0,1.2", "comma-separated loads, as shares of capacity");
+DEFINE_string(shapes, "toll,hanak", "comma-separated workload shapes");
+DEFINE_string(variations, "plain,tail,shift,greedy,reclaim,lag,lostcache", "comma-separated variations of each shape");
+DEFINE_string(output, "", "folder for cells.jsonl and table.md");
 
 using PolicyBench::Cell;
 using PolicyBench::Scenario;
@@ -35,7 +35,7 @@
     } else if (variation == "shift") {
         scenario.shift_factor = 2;
     } else if (variation == "greedy") {
-        // The largest organisation sends four times as much.
+        // The largest organisation sends four times its usual load.
         scenario.greedy_organisation = scenario.classes.front().organisation;
         scenario.greedy_factor = 4;
     } else if (variation == "reclaim") {
@@ -75,7 +75,7 @@
     return cells;
 }
 
-/// The mean over seeds of one row of the table.
+/// One row of the table: sums over the seeds, from which mean() computes the mean.
 struct Row {
     double stall_p50 { 0 };
     double stall_p95 { 0 };
@@ -132,8 +132,9 @@
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("Measures the decision code on seeded workloads in virtual time, against baselines and "
-                            "against a policy that knows every length.\n\n  policybench [--quick] [--output FOLDER]");
+    gflags::SetUsageMessage("Measures the scheduling policies on seeded workloads in virtual time, against baselines "
+                            "and a clairvoyant policy that knows every output length.\n\n  policybench [--quick] "
+                            "[--output FOLDER]");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     auto results = PolicyBench::run_cells(plan_cells());
     std::map<RowKey, Row> rows;
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -12,18 +12,18 @@
 #include <iostream>
 #include <numeric>
 
-DEFINE_uint64(span_ms, 1000, "requests are counted together that were received within so many milliseconds");
-DEFINE_double(repeat_ratio, 0.2, "retries.ratio of the hosts' settings");
-DEFINE_double(repeat_allowance, 50, "retries.allowance of the hosts' settings");
-DEFINE_uint64(repeat_window_ms, 10'000, "retries.window of the hosts' settings, in milliseconds");
-DEFINE_bool(stories, false, "print every line about each generation that was broken off, and why it was");
+DEFINE_uint64(span_ms, 1000, "length of the intervals by which requests are grouped, in milliseconds");
+DEFINE_double(repeat_ratio, 0.2, "value of retries.ratio in the hosts' settings");
+DEFINE_double(repeat_allowance, 50, "value of retries.allowance in the hosts' settings");
+DEFINE_uint64(repeat_window_ms, 10'000, "value of retries.window in the hosts' settings, in milliseconds");
+DEFINE_bool(stories, false, "print all log lines of each interrupted generation, with the reason for the interruption");
 
 struct Accounts {
     Account::RequestAccount requests;
     Account::RepeatAccount repeats;
 };
 
-/// Reads what can be read; says of which lines it cannot.
+/// Reads a log. Skips lines that cannot be parsed and reports them on stderr.
 static void read_log(std::istream& input, std::string const& name, Accounts& accounts)
 {
     size_t number = 0;
@@ -31,7 +31,7 @@
         ++number;
         auto line = Account::parse_log_line(text);
         if (!line)
-            std::cerr << name << ':' << number << ": " << line.error().message << "; it is left out" << std::endl;
+            std::cerr << name << ':' << number << ": " << line.error().message << "; line skipped" << std::endl;
         else if (line.value()) {
             accounts.repeats.add(*line.value());
             accounts.requests.add(std::move(*line.value()));
@@ -80,7 +80,8 @@
     }
 }
 
-/// What bounds a day from outside: more could be served only by engines and servers that do better, or hosts that last.
+/// Prints the losses that better decisions of the hosts could not have prevented: the host of a request terminated, or
+/// backend servers failed it.
 static void print_bounds(std::vector<Account::RequestTrace> const& traces)
 {
     auto count = [&](Account::Outcome outcome) {
@@ -91,7 +92,7 @@
               << " were given a backend server's failure after the tries that their route allows.\n";
 }
 
-/// Of each service the window that came nearest to what all hosts may repeat, or exceeded it by most.
+/// Prints, for each service, the window in which retries came closest to the bound for all hosts, or exceeded it most.
 static void print_repeats(Account::RepeatAccount const& repeats)
 {
     Account::RepeatBound const bound { FLAGS_repeat_ratio, FLAGS_repeat_allowance, FLAGS_repeat_window_ms };
@@ -123,8 +124,9 @@
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("[FILE ...]: what became of the requests in hosts' structured logs; - or none for standard "
-                            "input");
+    gflags::SetUsageMessage(
+        "[FILE ...]: reports the outcomes of the requests in hosts' structured logs; reads standard "
+        "input for - or without a FILE");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (FLAGS_span_ms == 0 || FLAGS_repeat_window_ms == 0) {
         std::cerr << "--span_ms and --repeat_window_ms must be at least 1" << std::endl;
@@ -140,7 +142,7 @@
         std::ifstream file(argv[i]);
         all_opened = all_opened && file;
         if (!file)
-            std::cerr << argv[i] << ": cannot be opened; check its name and rights" << std::endl;
+            std::cerr << argv[i] << ": cannot be opened; check its name and permissions" << std::endl;
         read_log(file, argv[i], accounts);
     }
     if (argc == 1)
--- a/Utilities/timeline.cpp
+++ b/Utilities/timeline.cpp
@@ -15,12 +15,12 @@
 #include <sstream>
 #include <tuple>
 
-DEFINE_string(servers, "127.0.0.1:7001", "an OperatorServer of each failure domain, with commas between");
-DEFINE_string(key, "", "operator key; the variable LILAC_OPERATOR_KEY serves when it is empty");
-DEFINE_string(root_certificate, "", "PEM file to check the servers' certificates against; TLS when it is set");
-DEFINE_uint64(maximum, 500, "at most so many events from each process");
+DEFINE_string(servers, "127.0.0.1:7001", "comma-separated addresses of one OperatorServer per failure domain");
+DEFINE_string(key, "", "operator key; if empty, the environment variable LILAC_OPERATOR_KEY is used");
+DEFINE_string(root_certificate, "", "PEM file to verify the servers' certificates with; enables TLS");
+DEFINE_uint64(maximum, 500, "maximum number of events from each process");
 DEFINE_string(subject, "", "only events about this generation, change, engine or member");
-DEFINE_string(format, "text", "text; trace, which common trace viewers open; or history, for historycheck");
+DEFINE_string(format, "text", "text; trace (Chrome trace event format); or history (for historycheck)");
 
 static std::vector<wire::EventRecord> collect()
 {
@@ -30,7 +30,8 @@
     for (auto const& server : split_at_commas(FLAGS_servers)) {
         auto batch = OperatorClient(server, key, FLAGS_root_certificate).events(FLAGS_maximum);
         if (!batch) {
-            std::cerr << server << ": " << batch.error().message << "; its domain is left out" << std::endl;
+            std::cerr << server << ": " << batch.error().message << "; events of its failure domain are missing"
+                      << std::endl;
             continue;
         }
         for (auto const& event : batch.value().events()) {
@@ -69,24 +70,24 @@
     std::cout << std::endl;
 }
 
-/// The revisions each process had in force, in its own order. A restart of a process begins a new sequence.
+/// Prints the revisions that each process had in force, in order. A restart of a process starts a new sequence.
 static void print_history(std::vector<wire::EventRecord> const& events)
 {
-    std::map<std::string, u64> starts;
+    std::map<std::string, u64> incarnations;
     for (auto const& event : events) {
         auto number = static_cast<Core::EventNumber>(event.number());
         if (number == Core::EventNumber::ProcessStarted)
-            ++starts[event.member()];
+            ++incarnations[event.member()];
         if (number != Core::EventNumber::RevisionInForce)
             continue;
         std::cout << R"({"kind":"revision","member":")" << event.member() << R"(","incarnation":)"
-                  << starts[event.member()] << R"(,"revision":)" << event.subject() << "}\n";
+                  << incarnations[event.member()] << R"(,"revision":)" << event.subject() << "}\n";
     }
 }
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("Merges the events of all processes into one ordered view.\n\n"
+    gflags::SetUsageMessage("Merges the events of all processes into one timeline.\n\n"
                             "  timeline --servers A,B,C [--format text|trace|history] [--subject ID]");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     auto events = collect();
