--- a/Libraries/LibGateway/Accounts.h
+++ b/Libraries/LibGateway/Accounts.h
@@ -11,7 +11,7 @@
 
 namespace Gateway {
 
-/// Who the callers are, and how many repeats each organisation may still have made on its behalf. Loop thread only.
+/// Authenticates callers and keeps the retry budget of each organisation. Only used on the event loop's thread.
 class Accounts {
 public:
     explicit Accounts(Node::Node& node)
@@ -19,11 +19,11 @@
     {
     }
 
-    /// The organisation an API key belongs to. Errors: Unauthenticated.
+    /// Returns the organisation that an API key belongs to. Errors: Unauthenticated.
     [[nodiscard]] Result<wire::Organisation const*> authenticate(std::string const& api_key) const;
-    /// A request was taken: it earns its organisation a part of a repeat.
+    /// Adds a fraction of a retry to the organisation's budget. Called for each accepted request.
     void earn_retry(OrganisationId const&);
-    /// Whether a repeat may be made now.
+    /// Takes one retry from the organisation's budget. Returns false if the budget does not allow a retry now.
     bool spend_retry(OrganisationId const&);
 
 private:
--- a/Libraries/LibGateway/CallerFrontend.cpp
+++ b/Libraries/LibGateway/CallerFrontend.cpp
@@ -49,7 +49,7 @@
 
 static u64 now_seconds() { return Core::SystemClock().wall_milliseconds() / 1000; }
 
-/// What the handlers of all paths share.
+/// State shared by the handlers of all paths.
 struct Frontend {
     GatewayLoop& gateway;
     GatewaySettings const& settings;
@@ -70,14 +70,14 @@
         if (served)
             served = this->serve(request, response);
         if (!served) {
-            // The rest of a body that was not read must not pass for the next request.
+            // An unread rest of the body must not be parsed as the next request.
             response.setKeepAlive(false);
             send_error(response, served.error(), Delivery::Outcome::NotRun);
         }
     }
 
 protected:
-    /// Serves the request, or returns an error found before anything was done.
+    /// Serves the request, or returns an error if the request was rejected before any work was done.
     virtual Result<void> serve(HTTPServerRequest&, HTTPServerResponse&) = 0;
 
     Frontend frontend;
@@ -291,7 +291,7 @@
 void CallerFrontend::stop_accepting()
 {
     this->server->stop();
-    // Open but not served, it would go on taking connections that nobody answers; closed, it refuses them.
+    // An open socket without a server would still accept connections, but never respond. A closed one refuses them.
     this->socket.close();
 }
 
--- a/Libraries/LibGateway/CallerFrontend.h
+++ b/Libraries/LibGateway/CallerFrontend.h
@@ -15,16 +15,16 @@
 
 namespace Gateway {
 
-/// The callers' HTTP server: a thread for each connection that is being served.
+/// The HTTP server for callers. Uses one thread per connection that is being served.
 class CallerFrontend {
 public:
-    /// Throws Poco::Exception when the address cannot be bound or the TLS files cannot be read.
+    /// Throws Poco::Exception if the address cannot be bound or the TLS files cannot be read.
     CallerFrontend(GatewayLoop&, GatewaySettings const&);
     ~CallerFrontend();
 
-    /// Accepts no more connections; open requests run on.
+    /// Stops accepting connections; open requests continue.
     void stop_accepting();
-    /// The port in use, for when the settings say 0.
+    /// The bound port; differs from the configured one if that is 0.
     [[nodiscard]] u16 port() const { return this->server->port(); }
 
 private:
--- a/Libraries/LibGateway/CallerProtocol.cpp
+++ b/Libraries/LibGateway/CallerProtocol.cpp
@@ -31,7 +31,7 @@
     return out.str();
 }
 
-/// The text of all messages, one a line with its role, which is what the engines take as a prompt.
+/// Joins all messages into the prompt for the engine, one line per message with its role.
 static Result<std::string> join_messages(Object const& object)
 {
     auto messages = object.getArray("messages");
@@ -208,10 +208,10 @@
 {
     auto object = envelope(identity, true);
     set_choice(object, identity, text, true, false);
-    Object own;
-    own.set("offset", static_cast<Poco::UInt64>(offset));
-    own.set("attempt", attempt.value());
-    object.set("lilactiller", own);
+    Object extension;
+    extension.set("offset", static_cast<Poco::UInt64>(offset));
+    extension.set("attempt", attempt.value());
+    object.set("lilactiller", extension);
     return to_text(object);
 }
 
@@ -222,11 +222,11 @@
     return usage;
 }
 
-static Object completed()
+static Object completed_extension()
 {
-    Object own;
-    own.set("outcome", std::string(Delivery::to_string(Delivery::Outcome::Completed)));
-    return own;
+    Object extension;
+    extension.set("outcome", std::string(Delivery::to_string(Delivery::Outcome::Completed)));
+    return extension;
 }
 
 std::string format_stream_end(StreamIdentity const& identity, u64 token_count)
@@ -234,7 +234,7 @@
     auto object = envelope(identity, true);
     set_choice(object, identity, "", true, true);
     object.set("usage", usage(token_count));
-    object.set("lilactiller", completed());
+    object.set("lilactiller", completed_extension());
     return to_text(object);
 }
 
@@ -243,7 +243,7 @@
     auto object = envelope(identity, false);
     set_choice(object, identity, text, false, true);
     object.set("usage", usage(token_count));
-    object.set("lilactiller", completed());
+    object.set("lilactiller", completed_extension());
     return to_text(object);
 }
 
@@ -254,13 +254,13 @@
     detail.set("message", error.message);
     if (error.retry_after)
         detail.set("retry_after_milliseconds", static_cast<Poco::Int64>(AK::to_milliseconds(*error.retry_after)));
-    Object own;
-    own.set("outcome", std::string(Delivery::to_string(outcome)));
+    Object extension;
+    extension.set("outcome", std::string(Delivery::to_string(outcome)));
     if (next_offset)
-        own.set("next_offset", static_cast<Poco::UInt64>(*next_offset));
+        extension.set("next_offset", static_cast<Poco::UInt64>(*next_offset));
     Object object;
     object.set("error", detail);
-    object.set("lilactiller", own);
+    object.set("lilactiller", extension);
     return to_text(object);
 }
 
--- a/Libraries/LibGateway/CallerProtocol.h
+++ b/Libraries/LibGateway/CallerProtocol.h
@@ -12,10 +12,10 @@
 #include <optional>
 #include <string>
 
-/// The callers' side in bytes: what is read from requests and written in answers. docs/CALLERS.md describes it.
+/// Parses callers' requests and formats the responses. The format is documented in docs/CALLERS.md.
 namespace Gateway {
 
-/// The two shapes of request that common client libraries speak.
+/// The two request formats that common client libraries use.
 enum class ApiShape : u8 {
     Completion,
     Chat,
@@ -35,19 +35,20 @@
 
 /// Parses the body of a generation request. Errors: InvalidRequest.
 Result<GenerationRequest> parse_generation_request(ApiShape shape, std::string const& body);
-/// The deadline header, in milliseconds. Errors: InvalidRequest.
+/// Parses the deadline header, in milliseconds. Errors: InvalidRequest.
 Result<std::optional<Duration>> parse_deadline(std::string const& header);
-/// The key in "Bearer <key>". Errors: Unauthenticated.
+/// Returns the key from "Bearer <key>". Errors: Unauthenticated.
 Result<std::string> parse_bearer(std::string const& header);
 
-/// About how many tokens a text has; engines count exactly, admission needs only the size.
+/// Estimates the number of tokens of a text. Engines count exactly; admission only needs an approximate size.
 TokenCount estimate_tokens(std::string const& text);
-/// Names the start of a prompt for prefix caches, so that no two organisations ever share a name.
+/// Returns the key of the prompt's prefix for prefix caches. It is salted with the organisation, so that organisations
+/// never share a key.
 u64 salted_prefix_hash(OrganisationId const&, std::string const& prompt);
 
 int http_status(ErrorKind);
 
-/// What identifies one stream in each of its events.
+/// Identifies a stream in each of its events.
 struct StreamIdentity {
     GenerationId generation;
     RouteName route;
@@ -55,11 +56,11 @@
     u64 created_seconds { 0 };
 };
 
-/// The bodies of answers: JSON objects without line breaks.
+/// The following functions format bodies of responses: JSON objects without line breaks.
 std::string format_token(StreamIdentity const&, std::string const& text, u64 offset, AttemptNumber attempt);
 std::string format_stream_end(StreamIdentity const&, u64 token_count);
 std::string format_complete_response(StreamIdentity const&, std::string const& text, u64 token_count);
-/// `next_offset` is set when a stream broke after tokens were delivered.
+/// `next_offset` is set if the stream broke after tokens were delivered.
 std::string format_error(Error const&, Delivery::Outcome, std::optional<u64> next_offset = {});
 
 }
--- a/Libraries/LibGateway/CallerWriter.cpp
+++ b/Libraries/LibGateway/CallerWriter.cpp
@@ -19,7 +19,7 @@
     response.setContentType("application/json");
     response.set(outcome_header, std::string(Delivery::to_string(outcome)));
     if (error.retry_after)
-        // Whole seconds, rounded up: never sooner than said.
+        // Retry-After is in seconds. Rounded up, so that callers do not retry too early.
         response.set(
             "Retry-After", std::to_string(std::chrono::ceil<std::chrono::seconds>(*error.retry_after).count()));
 }
--- a/Libraries/LibGateway/CallerWriter.h
+++ b/Libraries/LibGateway/CallerWriter.h
@@ -13,19 +13,19 @@
 
 namespace Gateway {
 
-/// Writes one answer to a caller: a stream of events, or one body at the end. The status and headers go out with the
-/// first token or the final answer, whichever is first, so that a refusal still has a status of its own.
+/// Writes the response to a caller: a stream of events, or a single body at the end. The status and headers are sent
+/// with the first token or the final response, whichever is first, so that a refusal still has its own status code.
 class CallerWriter {
 public:
     CallerWriter(Poco::Net::HTTPServerResponse& response, StreamIdentity identity, bool is_stream);
 
-    /// Headers of the answer; call before the first token.
+    /// Sets a response header. Must be called before the first token.
     void set_header(std::string const& name, std::string const& value) { this->response.set(name, value); }
-    /// Says whether the caller is still there.
+    /// Returns whether the caller is still connected.
     bool write_token(std::string const& text, u64 offset, AttemptNumber attempt);
     void finish(u64 token_count);
     void fail(Error const&, Delivery::Outcome, std::optional<u64> next_offset);
-    /// Drops the text collected for an answer in one body, when another attempt starts over.
+    /// Discards the text collected for a single-body response, because another attempt starts from the beginning.
     void start_over() { this->collected.clear(); }
 
     [[nodiscard]] bool is_stream() const { return this->stream; }
@@ -43,7 +43,7 @@
     std::string collected;
 };
 
-/// Sends a typed error as the whole answer, with Retry-After where the error says when to come back.
+/// Sends a typed error as the entire response. Sets Retry-After if the error specifies when to retry.
 void send_error(Poco::Net::HTTPServerResponse&, Error const&, Delivery::Outcome);
 
 }
--- a/Libraries/LibGateway/EngineStream.cpp
+++ b/Libraries/LibGateway/EngineStream.cpp
@@ -93,7 +93,7 @@
 {
     constexpr std::string_view prefix = "data: ";
     std::string line;
-    // Poco's streams end on a time-out as on an end of the connection.
+    // Poco's streams report a timeout in the same way as the end of the connection.
     while (std::getline(*this->input, line)) {
         if (!line.starts_with(prefix))
             continue;
@@ -102,7 +102,7 @@
             if (item)
                 return *item;
         } catch (Poco::Exception const&) {
-            // A line cut off in its middle: the stream is resumed from the last whole token.
+            // The line is truncated. The caller of next() resumes from the last complete token.
             return StreamFailure::Broken;
         }
     }
--- a/Libraries/LibGateway/EngineStream.h
+++ b/Libraries/LibGateway/EngineStream.h
@@ -17,7 +17,7 @@
 
 namespace Gateway {
 
-/// An engine and the permission to use it.
+/// A placement of a generation on an engine, granted by a router.
 struct EnginePlacement {
     EngineId engine;
     Address address;
@@ -48,32 +48,34 @@
 };
 
 enum class StreamFailure : u8 {
-    /// Nothing of the request reached the engine, or the engine said that it did not start it.
+    /// The request did not reach the engine, or the engine reported that it did not start it.
     NotStarted,
-    /// The engine said that it takes nothing new because it is leaving; it did not start the request.
+    /// The engine rejected the request without starting it, because it is leaving.
     Leaving,
-    /// The engine does not know the generation (any more), or has fenced this attempt out.
+    /// The generation is not, or no longer, known to the engine, or the engine has fenced out this attempt.
     Unknown,
-    /// The connection ended, or stood still for too long. The generation may go on.
+    /// The connection ended or stalled for too long. The generation may still be running.
     Broken,
 };
 
 using StreamItem = std::variant<EngineToken, EngineFinished, StreamFailure>;
 
-/// One connection to an engine over which the tokens of one generation come. An edge thread's; blocks.
+/// A connection to an engine that delivers the tokens of one generation. Used by one connection thread; calls block.
 class EngineStream {
 public:
-    /// Asks the engine to start a generation. Failures: NotStarted, Leaving, Unknown when fenced out, Broken.
+    /// Requests the engine to start a generation. Failures: NotStarted, Leaving, Unknown if fenced out, Broken.
     static std::variant<std::unique_ptr<EngineStream>, StreamFailure> start(
         Address const&, EngineStart const&, Duration timeout);
-    /// Attaches to a generation that runs or has run, from `next_offset` on. Failures: NotStarted when the engine
-    /// can't be connected to, Unknown, Broken.
+    /// Attaches to a running or completed generation, starting at `next_offset`. Failures: NotStarted if the connection
+    /// cannot be established, Unknown, Broken.
     static std::variant<std::unique_ptr<EngineStream>, StreamFailure> resume(
         Address const&, GenerationId const&, AttemptNumber, u64 next_offset, Duration timeout);
 
-    /// The next token, the end, or Broken when nothing at all came for `timeout`.
+    /// Waits for the next token or the end. Returns Broken if no data was received for the timeout given to start() or
+    /// resume().
     StreamItem next();
-    /// Counts the streams attached to the generation so far; a cancel by an earlier one is ignored by the engine.
+    /// Sequence number of this stream among those attached to the generation. The engine ignores a cancellation from an
+    /// earlier stream.
     [[nodiscard]] u64 attachment() const { return this->attachment_number; }
 
 private:
@@ -86,8 +88,8 @@
     u64 attachment_number { 0 };
 };
 
-/// Tells an engine to stop a generation, and to refuse this attempt and earlier ones from now on. The result does not
-/// matter: the gateway fences the attempt out by itself as well.
+/// Requests an engine to stop a generation, and to refuse this attempt and earlier ones. The result is ignored, because
+/// the gateway also fences out the attempt itself.
 void cancel_on_engine(
     Address const&, GenerationId const&, AttemptNumber, std::optional<u64> attachment, Duration timeout);
 
--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -14,9 +14,9 @@
 using Core::EventNumber;
 
 static constexpr Duration tick_period = 100ms;
-// A router answers at once or queues; after this long the question is asked again in case it was lost.
+// A router responds or queues the request at once. After this time the request is resent, in case it was lost.
 static constexpr Duration resend_after = 1s;
-// A router that did not answer is passed over for so long; by then gossip knows whether it is gone.
+// Time for which an unresponsive router is avoided. By its end, gossip has established whether the router is gone.
 static constexpr Duration suspicion = 15s;
 static constexpr u32 default_deadline_milliseconds = 10'000;
 static constexpr u64 default_maximum_output_tokens = 65'536;
@@ -181,7 +181,7 @@
     auto is_awaited = found != this->generations.end() && found->second.state == RowState::WaitingForRouter
         && found->second.attempt == AttemptNumber(reply.attempt());
     if (!is_awaited) {
-        // A late answer: the place it holds on the engine is given back, unless it is the one that was taken.
+        // A late reply. The placement that it reserves is released, unless it is the one in use.
         auto is_current_placement = found != this->generations.end()
             && found->second.attempt == AttemptNumber(reply.attempt())
             && found->second.engine == EngineId(reply.engine());
@@ -288,7 +288,7 @@
 {
     auto const* owner = this->node.owner_of("pool/" + row.model.value());
     auto const* router = this->node.members().find(row.router);
-    // Both may hold a row for it while ownership moves.
+    // While ownership moves, both routers may hold a row for the generation.
     if (router && (!owner || router->id != owner->id))
         this->node.send(router->address, envelope);
     if (owner)
@@ -390,7 +390,7 @@
         if (row.state == RowState::WaitingForRouter)
             due.push_back(id);
         else if (!this->notified_owners.contains(row.model)) {
-            // The owner that placed it knows it.
+            // The owner that placed the generation already knows it.
             if (auto const* owner = this->node.owner_of("pool/" + row.model.value()))
                 this->notified_owners[row.model] = owner->id;
         }
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -20,29 +20,29 @@
 
 namespace Gateway {
 
-/// The gateway's tables and decisions: which organisation and route a request belongs to, whom to ask for an engine,
-/// what is alive. Everything runs on the node's loop; edge threads come in by the
-/// functions named post_*, which may be called from any thread.
+/// The gateway's state and decisions: the organisation and route of a request, the router to request a placement from,
+/// and the live generations. Everything runs on the node's event loop. Connection threads call the post_* functions,
+/// which may be called from any thread.
 class GatewayLoop {
 public:
     GatewayLoop(Node::Node&, GatewaySettings const&);
 
     void post_begin(std::shared_ptr<GenerationCall>);
-    /// The engine did not start the attempt, or was lost before any token: ask for another engine.
+    /// Requests another engine, because the engine did not start the attempt or was lost before the first token.
     void post_retry(std::shared_ptr<GenerationCall>, EngineId failed_engine, StreamFailure);
     void post_first_token(GenerationId const&);
     void post_finished(GenerationId const&, wire::FinishReason, u64 token_count, std::string const& text);
-    /// The caller's connection is gone. The generation is stopped after a while, unless the caller has resumed it, here
-    /// or at another gateway, by then.
+    /// Handles the loss of the caller's connection. The generation is cancelled after the resume grace period, unless
+    /// the caller has resumed it by then, at this gateway or another one.
     void post_caller_gone(EngineSource const&, u64 token_count);
     void post_resume(std::shared_ptr<ResumeCall>);
     void post_resume_ended(GenerationId const&);
 
-    /// Requests that have not had their final answer. Any thread.
+    /// Number of requests without a final response. May be called on any thread.
     [[nodiscard]] size_t open_count() const { return this->open_calls; }
-    /// Any thread.
+    /// May be called on any thread.
     GenerationId new_generation_id();
-    /// Its post_ functions may be called from any thread.
+    /// Returns the handler of plain-service calls. Its post_* functions may be called on any thread.
     [[nodiscard]] ServiceCallHandler& services() { return this->service_call_handler; }
     [[nodiscard]] Node::Node& own_node() { return this->node; }
 
@@ -63,9 +63,10 @@
         AttemptNumber attempt;
         RowState state { RowState::WaitingForRouter };
         EngineId engine;
+        /// The router from which a placement was last requested.
         MemberId router;
         Instant requested_at;
-        /// The router that was asked has said that it has the request in its queue.
+        /// Whether the router has reported that the request is in its queue.
         bool is_queued { false };
         std::set<EngineId> excluded;
     };
@@ -79,7 +80,7 @@
     void refuse(GenerationRow const&, Error);
     void retry(std::shared_ptr<GenerationCall> const&, EngineId const& failed_engine, StreamFailure);
     void check_waiting(GenerationRow&);
-    /// Routers that did not answer of late. Nothing that must hold depends on it.
+    /// Routers that recently did not respond. Only a hint: correctness does not depend on it.
     [[nodiscard]] std::set<MemberId> suspected_routers();
     void notify_owner(GenerationRow const&, wire::Envelope);
     void members_changed();
@@ -95,9 +96,9 @@
     Accounts accounts;
     ServiceCallHandler service_call_handler;
     std::unordered_map<GenerationId, GenerationRow> generations;
-    /// Until when each router that did not answer is passed over.
+    /// Time until which an unresponsive router is avoided.
     std::map<MemberId, Instant> suspected_until;
-    /// The owner of each model's pool as last told of the live generations.
+    /// The owner of each model's pool that was last informed of the live generations.
     std::map<ModelId, MemberId> notified_owners;
     std::string id_prefix;
     std::atomic<u64> next_id { 1 };
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -10,26 +10,28 @@
 
 namespace Gateway {
 
-/// The settings under "gateway", beside those of the node.
+/// The settings under "gateway", and those of the node.
 struct GatewaySettings {
     Node::NodeSettings node;
-    /// Where callers connect.
+    /// Address that callers connect to.
     Address listen;
-    /// PEM files; callers speak TLS when both are set.
+    /// PEM files. Callers must use TLS if both are set.
     std::string tls_certificate;
     std::string tls_private_key;
-    /// An engine from which nothing comes for so long, not even a keep-alive, is asked again from the last token.
+    /// Maximum time without any data from an engine, including keep-alives. After it, the stream is resumed at the last
+    /// token.
     Duration stall_limit { 2s };
-    /// How long a broken stream is tried to be resumed before the caller is told that it is lost.
+    /// Time for which resuming a broken stream is attempted before the caller gets an error.
     Duration resume_timeout { 5s };
-    /// How long connecting to a backend server may take.
+    /// Timeout of connecting to a backend server.
     Duration connect_timeout { 1s };
-    /// Requests open at once; more are refused at once.
+    /// Maximum number of concurrently open requests. Further ones are refused immediately.
     i64 max_open_calls { 512 };
     Duration resume_token_lifetime { 5min };
-    /// A generation whose caller went away runs on for so long, should the caller resume it.
+    /// Time for which a generation continues after its caller has disconnected, so that the caller can resume it.
     Duration resume_grace { 5s };
-    /// After a planned stop begins, new requests are still served for so long, until the balancer has noticed.
+    /// Time for which new requests are still served after a planned stop begins, until the load balancer has noticed
+    /// it.
     Duration balancer_lag { 3s };
 };
 
--- a/Libraries/LibGateway/GenerationCall.h
+++ b/Libraries/LibGateway/GenerationCall.h
@@ -14,45 +14,45 @@
 #include <memory>
 #include <variant>
 
-/// What the loop and the edge threads share: typed messages, and nothing else.
+/// The messages exchanged between the event loop and the connection threads, which share no other state.
 namespace Gateway {
 
-/// The loop admitted the generation: start it on this engine.
+/// The loop admitted the generation, to be started on this engine.
 struct Admitted {
     EnginePlacement placement;
     EngineStart start;
     OrganisationId organisation;
     RouteName route;
-    /// Signs the resume token; no resume is offered without one.
+    /// Signs the resume token. Without a key no resume token is offered.
     std::optional<Delivery::SigningKey> signing_key;
 };
 
-/// The final answer: it was not run.
+/// The final decision: no (further) attempt is made.
 struct Refused {
     Error error;
 };
 
 using Decision = std::variant<Admitted, Refused>;
 
-/// One generation request, from its edge thread's side.
+/// One generation request, as its connection thread sees it.
 struct GenerationCall {
     GenerationId generation;
     GenerationRequest request;
     Core::Mailbox<Decision> decisions;
-    /// Tokens delivered so far, for telling a new owner of the pool.
+    /// Number of tokens delivered so far, which is reported to a new owner of the pool.
     std::atomic<u32> delivered { 0 };
 };
 
-/// Where a generation comes from, as far as one edge thread is concerned.
+/// The attempt of a generation that a connection thread relays, and its engine.
 struct EngineSource {
     GenerationId generation;
     Address address;
     AttemptNumber attempt;
-    /// Which of the streams attached to the generation this is.
+    /// Sequence number of the stream among those attached to the generation.
     u64 attachment { 0 };
 };
 
-/// The loop's word on a request to resume.
+/// The loop's decision on a request to resume.
 using ResumeDecision = std::variant<Delivery::ResumeToken, Refused>;
 
 struct ResumeCall {
@@ -63,7 +63,7 @@
     Core::Mailbox<ResumeDecision> decisions;
 };
 
-/// The loop's word on a plain-service call: where to send it.
+/// The loop's decision to send a plain-service call to this backend server.
 struct ServiceAdmitted {
     EngineId backend_server;
     Address address;
@@ -77,7 +77,7 @@
     std::string id;
     std::string api_key;
     ServiceName service;
-    /// With its leading slash and query.
+    /// Includes the leading slash and the query.
     std::string path;
     std::string method;
     std::string body;
--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -9,7 +9,7 @@
 
 namespace Gateway {
 
-// The loop always answers; this only bounds the wait should the process be going down.
+// The loop always sends a decision; this only bounds the wait if the process is stopping.
 static constexpr Duration max_decision_wait = 25h;
 static constexpr int max_refused_connections = 3;
 static constexpr Duration resume_backoff = 100ms;
@@ -65,7 +65,7 @@
     if (this->writer.is_stream() && !this->relay.begin_next_attempt())
         return false;
     if (!this->writer.is_stream()) {
-        // Nothing has gone to the caller yet, so the answer may come whole from another generation.
+        // No tokens have been sent to the caller yet, so another execution can produce the entire response.
         this->relay = Delivery::TokenRelay(AttemptNumber(placed.placement.attempt.value() + 1));
         this->writer.start_over();
         generation_call->delivered = 0;
@@ -101,7 +101,7 @@
             this->record.confirmed_not_started();
             return *failure == StreamFailure::Leaving ? RelayEnd::EngineLeaving : RelayEnd::NotStarted;
         }
-        // The engine may have started it: look before another one is asked.
+        // The engine may have started the attempt. Check this before another engine is requested.
         opened = this->reattach(source);
         if (std::holds_alternative<StreamFailure>(opened))
             return RelayEnd::Lost;
@@ -119,7 +119,7 @@
         auto* failure = std::get_if<StreamFailure>(&opened);
         if (!failure || *failure == StreamFailure::Unknown)
             return opened;
-        // A process that refuses connections is gone, and its generations with it.
+        // A process that refuses connections has terminated and lost its generations.
         if (*failure == StreamFailure::NotStarted && ++refused == max_refused_connections)
             return StreamFailure::Unknown;
         std::this_thread::sleep_for(resume_backoff);
@@ -142,7 +142,7 @@
             if (finished->token_count == this->relay.next_offset())
                 return RelayEnd::Finished;
         }
-        // Broken, a gap, or an end that came before the last token: go on from the last one delivered.
+        // The stream is broken, has a gap, or ended before the last token. Resume after the last delivered token.
         this->gateway.own_node().events().record(Core::EventNumber::StreamResumed, source.generation.value(),
             "broken; goes on from offset " + std::to_string(this->relay.next_offset()));
         auto reattached = this->reattach(source);
@@ -152,7 +152,7 @@
     }
 }
 
-/// Finished means here that the token is dealt with; Lost, that tokens are missing before it.
+/// Returns Finished if the token has been handled, and Lost if tokens before it are missing.
 GenerationSession::RelayEnd GenerationSession::forward(Source const& source, EngineToken const& token)
 {
     auto is_first = !this->relay.has_delivered();
--- a/Libraries/LibGateway/GenerationSession.h
+++ b/Libraries/LibGateway/GenerationSession.h
@@ -14,15 +14,15 @@
 
 namespace Gateway {
 
-/// One generation on its edge thread: waits for the loop's decisions, relays tokens from the engine to the caller, and
-/// resumes when the link to the engine breaks.
+/// Serves one generation on its connection thread: waits for the loop's decisions, relays tokens from the engine to the
+/// caller, and resumes the stream if the connection to the engine breaks.
 class GenerationSession {
 public:
     GenerationSession(GatewayLoop&, GatewaySettings const&, CallerWriter&);
 
-    /// Serves a new request to its final answer.
+    /// Serves a new request until its final response.
     void serve(std::shared_ptr<GenerationCall> const&);
-    /// Serves a caller that resumes a generation which some gateway began.
+    /// Serves a caller that resumes a generation started by this gateway or another one.
     void serve_resumed(ResumeCall const&, Delivery::ResumeToken const&);
 
 private:
@@ -32,7 +32,7 @@
         /// The engine did not start the attempt.
         NotStarted,
         EngineLeaving,
-        /// The engine has lost the generation, or stays out of reach.
+        /// The engine has lost the generation or remains unreachable.
         Lost,
     };
 
@@ -54,7 +54,7 @@
     GatewaySettings const& settings;
     CallerWriter& writer;
     Delivery::TokenRelay relay { AttemptNumber(1) };
-    // A generation may be tried again elsewhere; "not run" is said only if no attempt can have run.
+    // A generation may be retried on another engine. Its outcome is "not run" only if no attempt can have run.
     Delivery::DispatchRecord record { Delivery::Repeatability::Repeatable };
     u64 attachment { 0 };
     Instant last_token_at;
--- a/Libraries/LibGateway/ServiceCallHandler.cpp
+++ b/Libraries/LibGateway/ServiceCallHandler.cpp
@@ -12,7 +12,7 @@
 
 using Core::EventNumber;
 
-// A claim is written with others after a short wait; after this long the question is asked again.
+// Claims are written in batches after a short wait. After this time the request is resent.
 static constexpr Duration resend_after = 1s;
 
 static Instant now() { return AK::BootClock::now(); }
@@ -142,7 +142,7 @@
 void ServiceCallHandler::release_claim(ServiceRow const& row)
 {
     auto const* owner = this->node.owner_of("claims");
-    // Also a claim of which nothing was heard: it may have been made. Only its own nonce can release it.
+    // Also releases a claim without a reply, since it may have been made. Only its own nonce can release a claim.
     if (row.nonce.empty() || !owner)
         return;
     wire::Envelope envelope;
--- a/Libraries/LibGateway/ServiceCallHandler.h
+++ b/Libraries/LibGateway/ServiceCallHandler.h
@@ -18,20 +18,20 @@
 
 namespace Gateway {
 
-/// The gateway's plain-service calls: claims their idempotency keys and chooses their servers. Runs on the node's loop;
-/// the functions named post_* may be called from any thread.
+/// Handles the gateway's plain-service calls: claims their idempotency keys and chooses their backend servers. Runs on
+/// the node's event loop; the post_* functions may be called on any thread.
 class ServiceCallHandler {
 public:
-    /// `open_calls` counts the requests of the whole gateway that have not had their final answer.
+    /// `open_calls` is the number of requests of the entire gateway without a final response.
     ServiceCallHandler(Node::Node&, Accounts&, std::atomic<size_t>& open_calls);
 
     void post_call(std::shared_ptr<ServiceCall>);
-    /// Another try of a call that is known not to have run, or that may be repeated.
+    /// Retries a call that is known not to have run, or that is repeatable.
     void post_retry(std::shared_ptr<ServiceCall>, EngineId failed_server);
     void post_ended(std::shared_ptr<ServiceCall>, Delivery::Outcome, std::string const& text);
 
     void receive(wire::ClaimReply const&);
-    /// Asks again for claims of which nothing was heard, and refuses those past their deadline.
+    /// Resends claim requests without a reply, and refuses calls that have passed their deadline.
     void tick();
 
 private:
--- a/Libraries/LibGateway/ServiceCallSession.cpp
+++ b/Libraries/LibGateway/ServiceCallSession.cpp
@@ -20,25 +20,25 @@
 {
 }
 
-static void send_response(Poco::Net::HTTPServerResponse& response, Platform::HttpResponse const& answer)
+static void send_response(Poco::Net::HTTPServerResponse& response, Platform::HttpResponse const& backend_response)
 {
-    response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.status));
-    auto type = answer.headers.find("Content-Type");
-    response.setContentType(type == answer.headers.end() ? "application/octet-stream" : type->second);
+    response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(backend_response.status));
+    auto type = backend_response.headers.find("Content-Type");
+    response.setContentType(type == backend_response.headers.end() ? "application/octet-stream" : type->second);
     response.set(outcome_header, std::string(Delivery::to_string(Delivery::Outcome::Completed)));
-    response.sendBuffer(answer.body.data(), answer.body.size());
+    response.sendBuffer(backend_response.body.data(), backend_response.body.size());
 }
 
 static Platform::HttpRequest to_backend_request(ServiceCall const& call, OrganisationId const& organisation)
 {
-    Platform::HttpRequest question { call.method, call.path, call.body, {} };
-    question.headers["Lilactiller-Organisation"] = organisation.value();
-    question.headers["Lilactiller-Call"] = call.id;
+    Platform::HttpRequest request { call.method, call.path, call.body, {} };
+    request.headers["Lilactiller-Organisation"] = organisation.value();
+    request.headers["Lilactiller-Call"] = call.id;
     if (!call.content_type.empty())
-        question.headers["Content-Type"] = call.content_type;
+        request.headers["Content-Type"] = call.content_type;
     if (!call.idempotency_key.empty())
-        question.headers["Idempotency-Key"] = call.idempotency_key;
-    return question;
+        request.headers["Idempotency-Key"] = call.idempotency_key;
+    return request;
 }
 
 void ServiceCallSession::serve(std::shared_ptr<ServiceCall> const& call, Poco::Net::HTTPServerResponse& response)
@@ -55,7 +55,7 @@
             return;
         }
         auto const& admitted = std::get<ServiceAdmitted>(*decision);
-        // A call that carries a key is run at most once, whatever its path.
+        // A call with an idempotency key is run at most once, even if its path is repeatable.
         auto is_repeatable = admitted.is_repeatable && call->idempotency_key.empty();
         if (!record)
             record.emplace(is_repeatable ? Delivery::Repeatability::Repeatable : Delivery::Repeatability::AtMostOnce);
@@ -63,18 +63,18 @@
         record->about_to_send();
         auto answer
             = Platform::call_http(admitted.address, to_backend_request(*call, admitted.organisation), call->deadline);
-        auto was_rejected = answer && answer.value().headers.contains(not_started_header);
-        if (answer && !was_rejected) {
+        auto was_rejected = backend_response && backend_response.value().headers.contains(not_started_header);
+        if (backend_response && !was_rejected) {
             record->completed();
             this->gateway.services().post_ended(
-                call, record->outcome(), "status " + std::to_string(answer.value().status));
-            send_response(response, answer.value());
+                call, record->outcome(), "status " + std::to_string(backend_response.value().status));
+            send_response(response, backend_response.value());
             return;
         }
-        if (was_rejected || answer.error().progress == Platform::CallProgress::NothingSent)
+        if (was_rejected || backend_response.error().progress == Platform::CallProgress::NothingSent)
             record->confirmed_not_started();
         if (!record->may_dispatch()) {
-            this->gateway.services().post_ended(call, record->outcome(), answer.error().detail);
+            this->gateway.services().post_ended(call, record->outcome(), backend_response.error().detail);
             send_error(response,
                 { ErrorKind::BackendServerFailed,
                     "the server's answer did not come; the call may have run, look its result up before repeating it",
--- a/Libraries/LibGateway/ServiceCallSession.h
+++ b/Libraries/LibGateway/ServiceCallSession.h
@@ -13,12 +13,12 @@
 
 namespace Gateway {
 
-/// One plain-service call on its edge thread.
+/// Serves one plain-service call on its connection thread.
 class ServiceCallSession {
 public:
     ServiceCallSession(GatewayLoop&, GatewaySettings const&);
 
-    /// Serves the call to its final answer.
+    /// Serves the call until its final response.
     void serve(std::shared_ptr<ServiceCall> const&, Poco::Net::HTTPServerResponse&);
 
 private:
