--- a/Libraries/LibOperator/OperatorCalls.h
+++ b/Libraries/LibOperator/OperatorCalls.h
@@ -8,23 +8,23 @@
 
 #include <LibOperator/OperatorLoop.h>
 
-/// The calls of the operators' RPC as objects that gRPC's completion queue hands back. Each deletes itself when it is
-/// over.
+/// The calls of the operators' RPC service. gRPC's completion queue returns each call object as a tag; a call deletes
+/// itself when it has finished.
 namespace Operator {
 
 grpc::Status to_status(Error const&);
 
-/// Entries read from the log at once for a watcher.
+/// Maximum number of log entries per read for a watcher.
 static constexpr size_t max_entries_per_read = 200;
 
-/// What the completion queue gives back. Only the loop touches it.
+/// The base class of the completion queue's tags. Only used on the event loop's thread.
 class OperatorLoop::Tag {
 public:
     virtual ~Tag() = default;
     virtual void proceed(bool is_ok) = 0;
 };
 
-/// One call that is answered once.
+/// A call with a single reply.
 template<typename Request, typename Reply>
 class OperatorLoop::UnaryCall final : public Tag {
 public:
@@ -47,27 +47,27 @@
 
     void proceed(bool is_ok) override
     {
-        if (!is_ok || this->is_answered) {
+        if (!is_ok || this->has_responded) {
             delete this;
             return;
         }
-        // The next call of this kind is awaited before this one is served.
+        // Accept the next call of this kind before serving this one.
         if (!this->owner.is_stopping)
             new UnaryCall(this->owner, this->request_function, this->required_role, this->handler);
         auto identity = this->owner.authenticate(this->context);
         if (!identity)
-            this->answer(identity.error());
+            this->respond(identity.error());
         else if (identity.value().role < this->required_role)
-            this->answer(Error {
+            this->respond(Error {
                 ErrorKind::Forbidden, "operator '" + identity.value().name + "' may only look; ask an editor", {} });
         else
-            this->handler(this->request, identity.value(), [this](Result<Reply> reply) { this->answer(reply); });
+            this->handler(this->request, identity.value(), [this](Result<Reply> reply) { this->respond(reply); });
     }
 
 private:
-    void answer(Result<Reply> const& reply)
+    void respond(Result<Reply> const& reply)
     {
-        this->is_answered = true;
+        this->has_responded = true;
         if (reply)
             this->responder.Finish(reply.value(), grpc::Status::OK, this);
         else
@@ -81,10 +81,10 @@
     grpc::ServerContext context;
     Request request;
     Responder responder;
-    bool is_answered { false };
+    bool has_responded { false };
 };
 
-/// Streams log entries to one watcher until it goes away or the server stops.
+/// Streams log entries to one watcher until it disconnects or the server stops.
 class OperatorLoop::WatchCall final : public Tag {
 public:
     explicit WatchCall(OperatorLoop& owner)
@@ -110,7 +110,7 @@
         this->feed();
     }
 
-    /// Sends what the watcher lacks, an entry at a time.
+    /// Sends the next entry that the watcher lacks. Only one write is outstanding at a time.
     void feed()
     {
         if (this->is_writing || this->is_reading || this->is_finished)
@@ -157,7 +157,7 @@
             },
             [this](Result<std::vector<wire::LogEntry>> entries) {
                 this->is_reading = false;
-                // When the platform is out, the next revision to come into force tries again.
+                // If the platform is unavailable, the read is retried when the next revision comes into force.
                 if (entries && !entries.value().empty()) {
                     this->pending = std::move(entries.value());
                     this->feed();
--- a/Libraries/LibOperator/OperatorLoop.cpp
+++ b/Libraries/LibOperator/OperatorLoop.cpp
@@ -130,7 +130,7 @@
     new UnaryCall<wire::GetRequest, wire::ConfigurationSnapshot>(
         *this, &Service::RequestGet, OperatorRole::Viewer, [this](auto const&, auto const&, auto done) {
             auto snapshot = this->node.configuration().snapshot();
-            // Whoever can look at the configuration must not be able to sign resume tokens.
+            // Viewers of the configuration must not be able to sign resume tokens.
             for (auto& key : *snapshot.mutable_resume_keys())
                 key.set_secret_hexadecimal("(hidden)");
             done(std::move(snapshot));
--- a/Libraries/LibOperator/OperatorLoop.h
+++ b/Libraries/LibOperator/OperatorLoop.h
@@ -19,17 +19,17 @@
 
 namespace Operator {
 
-/// Serves the operators' RPC. gRPC's completion queue is read on a thread that only hands its tags to the loop; every
-/// decision is made on the loop.
+/// Serves the operators' RPC. A separate thread reads gRPC's completion queue and only posts its tags to the event
+/// loop; all processing happens on the loop.
 class OperatorLoop {
 public:
-    /// Starts serving. Fails when the address cannot be bound or the TLS files cannot be read.
+    /// Starts serving. Fails if the address cannot be bound or the TLS files cannot be read.
     static Result<std::unique_ptr<OperatorLoop>> create(Node::Node&, OperatorSettings const&);
     ~OperatorLoop();
 
-    /// The port in use, for when the settings say 0.
+    /// The bound port; differs from the configured one if that is 0.
     [[nodiscard]] int port() const { return this->listening_port; }
-    /// Ends Watch streams and accepts nothing new; calls under way are answered.
+    /// Ends Watch streams and accepts no new calls; calls in progress are completed.
     void stop_accepting();
 
 private:
@@ -50,7 +50,7 @@
     using ApplyDone = std::function<void(Result<wire::ApplyReply>)>;
     void apply(wire::ApplyRequest const&, OperatorIdentity const&, ApplyDone);
     using EventsDone = std::function<void(wire::EventBatch)>;
-    /// Asks every member for its events, and answers when all have, or after a short while.
+    /// Requests the events of every member. Calls `done` when all have replied, or after a timeout.
     void collect_events(u64 maximum, std::string const& subject, EventsDone);
     void finish_collection(u64 correlation);
     [[nodiscard]] wire::MembersReply members() const;
--- a/Libraries/LibOperator/OperatorSettings.cpp
+++ b/Libraries/LibOperator/OperatorSettings.cpp
@@ -33,7 +33,7 @@
     settings.tls_certificate = reader.text_or("operator.tls_certificate", "");
     settings.tls_private_key = reader.text_or("operator.tls_private_key", "");
     for (auto const& text : reader.text_list("operator.operators")) {
-        // The text is not repeated in the complaint: it holds a hash of a secret.
+        // The error does not contain the text, because that includes the hash of a secret.
         if (auto parsed = parse_operator(text))
             settings.operators.insert(*parsed);
         else
--- a/Libraries/LibOperator/OperatorSettings.h
+++ b/Libraries/LibOperator/OperatorSettings.h
@@ -12,9 +12,9 @@
 namespace Operator {
 
 enum class OperatorRole : u8 {
-    /// May look.
+    /// May read.
     Viewer,
-    /// May look and change.
+    /// May read and change the configuration.
     Editor,
 };
 
@@ -23,14 +23,14 @@
     OperatorRole role { OperatorRole::Viewer };
 };
 
-/// The settings under "operator", beside those of the node.
+/// The settings under "operator", and those of the node.
 struct OperatorSettings {
     Node::NodeSettings node;
-    /// Where operators connect, by gRPC.
+    /// Address that operators connect to by gRPC.
     Address listen;
     std::string tls_certificate;
     std::string tls_private_key;
-    /// By the SHA-256 of each operator's key.
+    /// The operators, by the SHA-256 hash of their keys.
     std::map<std::string, OperatorIdentity> operators;
 };
 
--- a/Services/GatewayServer/main.cpp
+++ b/Services/GatewayServer/main.cpp
@@ -20,15 +20,15 @@
     Gateway::CallerFrontend frontend;
 };
 
-/// A planned stop: not ready at once, then no new connections once the balancer has noticed, then the end of every
-/// open request, then the end of the process.
-static void stop_when_drained(Node::Node& node, GatewayService& part, Gateway::GatewaySettings const& settings)
+/// Carries out a planned stop: becomes not ready, stops accepting connections after the load balancer has had time to
+/// notice, waits until all open requests have ended, and stops the process.
+static void stop_when_drained(Node::Node& node, GatewayService& service, Gateway::GatewaySettings const& settings)
 {
     node.begin_leaving();
-    node.loop().after(settings.balancer_lag, [&node, &part] {
-        part.frontend.stop_accepting();
-        node.loop().every(drain_check_period, [&node, &part] {
-            if (part.gateway.open_count() == 0)
+    node.loop().after(settings.balancer_lag, [&node, &service] {
+        service.frontend.stop_accepting();
+        node.loop().every(drain_check_period, [&node, &service] {
+            if (service.gateway.open_count() == 0)
                 node.loop().stop();
         });
     });
@@ -41,15 +41,15 @@
     if (only_check)
         return success();
     return Node::serve_until_stopped(settings.node, [&](Node::Node& node) -> Result<Node::BeginStop> {
-        auto part = std::make_shared<GatewayService>(node, settings);
-        return Node::BeginStop([&node, &settings, part] { stop_when_drained(node, *part, settings); });
+        auto service = std::make_shared<GatewayService>(node, settings);
+        return Node::BeginStop([&node, &settings, service] { stop_when_drained(node, *service, settings); });
     });
 }
 
 int main(int argc, char** argv)
 {
     return Node::run_daemon(argc, argv,
-        "The callers' side of lilactiller: takes requests over HTTP, asks the routers for an engine, and relays its "
-        "tokens.\n\n  GatewayServer --settings FILE [--check_settings]",
+        "The gateway of lilactiller for callers: accepts requests over HTTP, requests engines from the routers, and "
+        "relays the tokens.\n\n  GatewayServer --settings FILE [--check_settings]",
         serve);
 }
--- a/Services/OperatorServer/main.cpp
+++ b/Services/OperatorServer/main.cpp
@@ -7,8 +7,8 @@
 #include <LibNode/Daemon.h>
 #include <LibOperator/OperatorLoop.h>
 
-// Time for the calls under way to be answered.
-static constexpr Duration stop_time = 1s;
+// Time for calls in progress to complete.
+static constexpr Duration completion_time = 1s;
 
 static Result<void> serve(Core::SettingsReader& reader, bool only_check)
 {
@@ -22,7 +22,7 @@
         return Node::BeginStop([&node, operators] {
             node.begin_leaving();
             operators->stop_accepting();
-            node.loop().after(stop_time, [&node] { node.loop().stop(); });
+            node.loop().after(completion_time, [&node] { node.loop().stop(); });
         });
     });
 }
@@ -30,7 +30,7 @@
 int main(int argc, char** argv)
 {
     return Node::run_daemon(argc, argv,
-        "The operators' side of lilactiller: takes changes of the configuration by gRPC (Operator.proto) and writes "
-        "them to the platform.\n\n  OperatorServer --settings FILE [--check_settings]",
+        "The server of lilactiller for operators: accepts changes of the configuration by gRPC (Operator.proto) and "
+        "writes them to the platform.\n\n  OperatorServer --settings FILE [--check_settings]",
         serve);
 }
--- a/Services/RouteServer/main.cpp
+++ b/Services/RouteServer/main.cpp
@@ -7,7 +7,7 @@
 #include <LibNode/Daemon.h>
 #include <LibRouter/RouterLoop.h>
 
-// Long enough for gateways to have heard that this router leaves, so that they ask its successor.
+// Long enough for the gateways to receive the message that this router is leaving, so that they use its successor.
 static constexpr Duration handover_time = 2s;
 
 static Result<void> serve(Core::SettingsReader& reader, bool only_check)
@@ -28,7 +28,7 @@
 int main(int argc, char** argv)
 {
     return Node::run_daemon(argc, argv,
-        "The decisions of lilactiller: which engine takes a generation, when, and what is refused.\n\n"
+        "The router of lilactiller: decides which engine runs a generation, when, and which requests are refused.\n\n"
         "  RouteServer --settings FILE [--check_settings]",
         serve);
 }
--- a/Tests/LibGateway/TestBaseSettings.cpp
+++ b/Tests/LibGateway/TestBaseSettings.cpp
@@ -16,7 +16,7 @@
     return reader.value();
 }
 
-SCENARIO("the examples in Base are good settings and show the defaults")
+SCENARIO("the examples in Base are valid and contain the default values")
 {
     auto gateway = base_settings("gateway.yaml");
     auto gateway_settings = Gateway::read_gateway_settings(gateway);
@@ -36,7 +36,7 @@
     CHECK(operator_reader.finish().has_value());
 }
 
-SCENARIO("a complaint about an operator's entry does not repeat its hash")
+SCENARIO("the error for an invalid operator entry does not contain its hash")
 {
     auto reader = Core::SettingsReader::parse("operator.yaml", "operator:\n  operators: [\"vesela:chief:abcdef\"]\n");
     (void)Operator::read_operator_settings(reader.value());
--- a/Tests/LibGateway/TestCallerProtocol.cpp
+++ b/Tests/LibGateway/TestCallerProtocol.cpp
@@ -12,7 +12,7 @@
 using Gateway::ApiShape;
 using Gateway::parse_generation_request;
 
-SCENARIO("requests in both shapes are read")
+SCENARIO("requests in both formats are parsed")
 {
     auto completion = parse_generation_request(
         ApiShape::Completion, R"({"model":"summary","prompt":"Lane 4","stream":true,"max_tokens":20})");
@@ -27,7 +27,7 @@
     CHECK(chat.value().prompt == "system: Be short.\nuser: Why?\n");
 }
 
-SCENARIO("bad requests are refused with what to do")
+SCENARIO("invalid requests are rejected with an error message")
 {
     for (auto const* body : { "", "[]", "7", "null", "{", R"({"model":1,"prompt":"x"})", R"({"prompt":"x"})",
              R"({"model":"m"})", R"({"model":"m","prompt":""})", R"({"model":"m","prompt":["x"]})",
@@ -48,7 +48,7 @@
     CHECK(Gateway::parse_deadline("250").value() == 250ms);
 }
 
-TEST_CASE("no body ends the process", "[property]")
+TEST_CASE("no request body terminates the process", "[property]")
 {
     rc::prop("any bytes", [](std::string const& body) {
         (void)parse_generation_request(ApiShape::Completion, body);
@@ -65,9 +65,10 @@
     });
 }
 
-SCENARIO("what goes to the caller is JSON whatever the tokens hold")
+SCENARIO("token events are valid JSON for any token text")
 {
-    // Engines send JSON themselves, so their tokens are UTF-8; here every ASCII character, controls among them.
+    // Engines send JSON, so their tokens are valid UTF-8. This test uses all ASCII characters, including control
+    // characters.
     rc::prop("token events", [] {
         auto text = *rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127));
         Gateway::StreamIdentity identity { GenerationId("g"), RouteName("r"), ApiShape::Completion, 1 };
@@ -86,7 +87,7 @@
     });
 }
 
-SCENARIO("a refusal says when to come back")
+SCENARIO("a refusal states when to retry")
 {
     Error error { ErrorKind::Overloaded, "full", 1500ms };
     auto body = Gateway::format_error(error, Delivery::Outcome::NotRun);
