--- a/Meta/Fleet.sh
+++ b/Meta/Fleet.sh
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-2-Clause
 # shellcheck shell=bash
-# A small fleet on loopback: three failure domains with two hosts each, and the stand-ins. Sourced by the other scripts.
-# Every process that is started is remembered by its id, and only those are stopped.
+# Starts a small fleet on loopback: three failure domains with two hosts each, and the stand-ins. Sourced by the other
+# scripts. The ids of all started processes are recorded, and only these processes are stopped.
 
 fleet_domains=(hall-a hall-b hall-c)
 fleet_hosts_per_domain=2
@@ -41,7 +41,7 @@
     fleet_pids=()
 }
 
-# The settings that all daemons of a host share. DOMAIN_NUMBER MEMBER PEER_PORT STATUS_PORT
+# Prints the settings that all daemons of a host share. Arguments: DOMAIN_NUMBER MEMBER PEER_PORT STATUS_PORT
 fleet_node_settings() {
     local domain_number=$1 member=$2 peer_port=$3 status_port=$4 host peers=() remote=()
     local first=$((domain_number * fleet_hosts_per_domain))
@@ -63,7 +63,8 @@
 YAML
 }
 
-# fleet_start_gateway HOST, and so on: HOST counts over all domains from 0.
+# fleet_start_gateway HOST, fleet_start_router HOST, fleet_start_operator HOST: HOST is the index over all domains,
+# starting at 0.
 fleet_start_gateway() {
     local host=$1 domain_number=$(($1 / fleet_hosts_per_domain))
     {
@@ -93,7 +94,7 @@
 fleet_start_engine() {
     local domain_number=$1 number=$2
     local name="engine-$domain_number-$number"
-    # A restarted engine is told from the one before by its executions' names.
+    # Each start gets its own name, so that the executions of a restarted engine differ from those before the restart.
     engine_starts=$((${engine_starts:-0} + 1))
     fleet_start "$name" FakeEngine --name="$name-start-$engine_starts" --model=tollwriter \
         --history="$run_directory/$name.history" --report_age_milliseconds=$((number * 2000)) \
@@ -130,7 +131,7 @@
     echo ']}'
 }
 
-# fleet_wait_for DESCRIPTION COMMAND...: asks again until the command succeeds; fails after a minute.
+# fleet_wait_for DESCRIPTION COMMAND...: repeats the command until it succeeds; fails after a minute.
 fleet_wait_for() {
     local description=$1 deadline=$((SECONDS + 60))
     shift
--- a/Meta/ablate.py
+++ b/Meta/ablate.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
 # SPDX-License-Identifier: BSD-2-Clause
-"""Takes one mechanism of the decisions out of a scratch copy, to measure what it is worth.
+"""Disables one mechanism of the decision code in a scratch copy, to measure its effect.
 
 ablate.py list
 ablate.py NAME DIRECTORY
@@ -10,7 +10,8 @@
 
 SERVING = "Libraries/LibServing/"
 
-# Name: what it takes out, and the replacements that do it, each as (file, text, text instead).
+# Maps the name of a mechanism to a description of the system without it, and to the replacements that disable it, each
+# as (file, text, replacement).
 MECHANISMS = {
     "moves": ("generations are not moved off engines that leave", [
         (SERVING + "Generation.h", "if (!this->traits().can_move ||", "if (true || !this->traits().can_move ||")]),
--- a/Meta/bench.sh
+++ b/Meta/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# BUILD_DIRECTORY RUN_DIRECTORY [--quick | capacity | hosts | overload [FILE]]
+# Runs the benchmarks. Arguments: BUILD_DIRECTORY RUN_DIRECTORY [--quick | capacity | hosts | overload [FILE]]
 set -euo pipefail
 build_directory=$1
 run_directory=$2
@@ -27,7 +27,7 @@
 output=$run_directory/bench
 mkdir -p "$output"
 "$build_directory/Utilities/policybench" --output="$output" "$@"
-# A plot for each measure: policies by load, on the plain shapes.
+# One plot per measure: policies by load, for the plain workload shapes.
 for measure in 5:stall-p95-ms 9:gap-p99-ms 11:preemptions-per-1000; do
     column=$((${measure%%:*} + 1))
     for shape in toll hanak; do
--- a/Meta/capacity.sh
+++ b/Meta/capacity.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# Measures the slopes behind docs/CAPACITY.md: those within one process, and those of whole processes on loopback.
-# BUILD_DIRECTORY RUN_DIRECTORY
+# Measures the cost slopes for docs/CAPACITY.md, both within one process and of entire processes on loopback.
+# Arguments: BUILD_DIRECTORY RUN_DIRECTORY
 set -euo pipefail
 build_directory=$1
 run_directory=$2/capacity
@@ -19,7 +19,8 @@
 # metric STATUS_PORT NAME
 metric() { curl -sf "http://127.0.0.1:$1/metrics" | awk -v name="$2" '$1 == name { print $2; found = 1 } END { if (!found) print 0 }'; }
 
-# One failure domain with COUNT daemons and no load: what control alone costs each.
+# measure_idle_domain COUNT: the cost of control traffic per daemon, in one failure domain with COUNT daemons and no
+# load.
 measure_idle_domain() {
     local count=$1 number before_ticks before_bytes after_ticks after_bytes
     fleet_domains=(hall-a)
@@ -49,7 +50,7 @@
     fleet_stop_all
 }
 
-# One gateway and one router under STREAMS generations at once.
+# measure_streams STREAMS: the cost of STREAMS concurrent generations at one gateway and one router.
 measure_streams() {
     local streams=$1 before_ticks tokens before_router peak=0 now
     fleet_domains=(hall-a)
@@ -90,8 +91,9 @@
     "$(fleet_bin timeline)" --servers=127.0.0.1:7001,127.0.0.1:7003,127.0.0.1:7005 --key="$fleet_operator_key" --maximum=4000
 }
 
-# The whole fleet: from a change's acceptance until it is in force in the last process; from an engine's word that it
-# leaves until the last placement there; from an owner's death until its successor places.
+# Reaction times of the entire fleet: from the acceptance of a change until it is in force in the last process; from
+# an engine's announcement that it is leaving until the last placement on it; and from the death of a pool's owner
+# until its successor places a generation.
 measure_reactions() {
     local number at owner last first
     fleet_domains=(hall-a hall-b hall-c)
@@ -129,7 +131,7 @@
 
 parts=${LILAC_CAPACITY_PARTS:-process idle streams reactions}
 {
-    # A group in a pipeline is a shell of its own, which inherits no trap.
+    # A group in a pipeline runs in a subshell, which does not inherit traps.
     trap fleet_stop_all EXIT
     if [[ $parts == *process* ]]; then "$(fleet_bin capacitybench)" 2>/dev/null; fi
     if [[ $parts == *idle* ]]; then for count in 6 15 21; do measure_idle_domain "$count"; done; fi
--- a/Meta/drill.sh
+++ b/Meta/drill.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# Runs the small fleet under load, brings faults about in an order drawn from SEED, and checks the history afterwards.
-# Whether it passes depends on the history alone, never on how long anything took. SEED
-# LILAC_DRILL_KINDS="replace_all stop_gateway" restricts the kinds of fault, LILAC_DRILL_FAULTS and
-# LILAC_DRILL_REQUESTS say how many of each.
+# Runs the small fleet under load, injects faults in a random order derived from SEED, and then checks the history.
+# The result depends only on the history, never on timing. Arguments: SEED
+# LILAC_DRILL_KINDS="replace_all stop_gateway" restricts the kinds of fault. LILAC_DRILL_FAULTS and LILAC_DRILL_REQUESTS
+# set the numbers of faults and requests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build_directory=${LILAC_BUILD_DIRECTORY:-$PWD/Build}
@@ -106,7 +106,7 @@
 load=$!
 if [[ -n ${LILAC_DRILL_KINDS:-} ]]; then read -ra faults <<<"$LILAC_DRILL_KINDS"; fi
 for ((i = 0; i < fault_count; ++i)); do
-    # Every kind comes up once before any comes up twice.
+    # Every kind of fault is injected once before any is repeated.
     if ((i % ${#faults[@]} == 0)); then
         mapfile -t order < <(for fault in "${faults[@]}"; do echo "$RANDOM $fault"; done | sort -n | cut -d' ' -f2)
     fi
--- a/Meta/lilactiller.sh
+++ b/Meta/lilactiller.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# The one script of lilactiller; see usage() below.
+# The entry point for building, running and testing lilactiller; see usage() below.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build_directory=${LILAC_BUILD_DIRECTORY:-$PWD/Build}
--- a/Meta/lint.sh
+++ b/Meta/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# Checks formatting, lint and names. BUILD_DIRECTORY
+# Checks formatting, lint rules and names. Arguments: BUILD_DIRECTORY
 set -euo pipefail
 build_directory=$1
 cmake -G Ninja -B "$build_directory" -S . >/dev/null
@@ -13,7 +13,7 @@
 if grep -nE '\bm_[a-z]|\bstd::shared_mutex\b' "${files[@]}"; then
     echo "members carry no mark" && exit 1
 fi
-# Whoever sends to backend servers asks first whether the one it sends to wants work now.
+# Code that sends to backend servers must first check whether the server accepts work now.
 senders='^Libraries/LibServing/(EnginePoller|Generation|GenerationMove|ServiceCall)\.h$'
 others=$(grep -lE 'connections\.(acquire|make_new)\(' "${files[@]}" | grep -E '^(Libraries|platform)/' | grep -vE "$senders" || true)
 if [[ -n $others ]]; then
@@ -21,7 +21,7 @@
     exit 1
 fi
 mapfile -t sources < <(printf '%s\n' "${files[@]}" | grep -E '^(AK|Libraries|platform|Services|StandIns|Utilities)/.*\.cpp$')
-# cppcheck's tokenizer gives up on chrono literals such as 25h; those files are left to clang-tidy.
+# cppcheck's tokenizer fails on chrono literals such as 25h; only clang-tidy checks the files that contain them.
 cppcheck --quiet --error-exitcode=1 --enable=warning,performance,portability --inline-suppr --language=c++ --std=c++20 \
     --suppress=missingIncludeSystem --suppress=unknownMacro --suppress=syntaxError --suppress=cppcheckError --suppress=internalError -j "$(nproc)" "${sources[@]}"
 printf '%s\n' "${sources[@]}" | xargs -P "$(nproc)" -n 4 clang-tidy -p "$build_directory" --quiet 2>/dev/null
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# Takes one guard at a time out of a scratch copy and shows that the test which stands for it fails, and passes with it.
-# [REGULAR EXPRESSION FOR THE NAMES OF GUARDS]
+# Removes one guard at a time from a scratch copy, and shows that the guard's test fails without it and passes with it.
+# Arguments: [REGULAR EXPRESSION FOR THE NAMES OF GUARDS]
 set -euo pipefail
 only=${1:-}
 cd "$(dirname "$0")/.."
@@ -15,7 +15,7 @@
 guard() {
     local name=$1 program=$2 test=$3 file=$4 original=$5 replacement=$6 verdict
     if [[ -n $only && ! $name =~ $only ]]; then return; fi
-    # A comma would part two names for Catch2; a name that matches nothing counts as a failure.
+    # Catch2 treats an unescaped comma as a separator of names. A name that matches no test counts as a failure.
     test=${test//,/\\,}
     cp "$scratch/$file" "$scratch/kept"
     if ! ORIGINAL=$original REPLACEMENT=$replacement perl -0pi -e \
@@ -35,7 +35,8 @@
     [[ $verdict == fails ]] || failures=$((failures + 1))
 }
 
-# soak_guard NAME FILE ORIGINAL REPLACEMENT: without the guard the fault soak finds a violation in one of four seeds.
+# soak_guard NAME FILE ORIGINAL REPLACEMENT: without the guard, the fault soak must find a violation in one of four
+# seeds.
 soak_guard() {
     local name=$1 file=$2 original=$3 replacement=$4
     if [[ -n $only && ! $name =~ $only ]]; then return; fi
--- a/Meta/run-tests.sh
+++ b/Meta/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# Runs every test and lets pass only the failures that KNOWN-RED.txt lists; prints those. BUILD_DIRECTORY
+# Runs every test. Tolerates and prints only the failures that KNOWN-RED.txt lists. Arguments: BUILD_DIRECTORY
 set -euo pipefail
 build_directory=$1
 log=$build_directory/test.log
--- a/Meta/soak.sh
+++ b/Meta/soak.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# Runs the fault soak on many seeds, a few at a time, and prints each seed's line and every violation.
-# BUILD_DIRECTORY RUN_DIRECTORY [--seeds N] [--first N] [--jobs N] [-- FLAGS OF Build/Tests/soak]
-# Seeds that ever failed (Tests/Soak/Seeds.txt) are run as well. Without --first the seeds are fresh ones.
+# Runs the fault soak on many seeds, a few in parallel, and prints the result line of each seed and every violation.
+# Arguments: BUILD_DIRECTORY RUN_DIRECTORY [--seeds N] [--first N] [--jobs N] [-- FLAGS OF Build/Tests/soak]
+# Also runs the seeds that failed in the past (Tests/Soak/Seeds.txt). Without --first, the seeds are new in each run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build_directory=$1
@@ -39,7 +39,7 @@
 export -f run_seed
 export build_directory run_directory
 
-# A seed that failed is played with the flags that it failed with, which are the defaults.
+# Seeds from Seeds.txt are run with the default flags, with which they failed.
 xargs -P "$jobs" -I{} bash -c 'run_seed {}' <<<"$kept_seeds"
 seq "$first" $((first + seeds - 1)) | { grep -vxF "$kept_seeds" || true; } | xargs -r -P "$jobs" -I{} bash -c 'run_seed {} "$@"' run_seed "$@"
 grep -hE '^seed [0-9]+: (answers|ends)|VIOLATION' "$run_directory"/*.txt || echo "soak: no seed came to its end"
