--- a/Libraries/LibGateway/ServiceCallSession.cpp
+++ b/Libraries/LibGateway/ServiceCallSession.cpp
@@ -61,7 +61,7 @@
             record.emplace(is_repeatable ? Delivery::Repeatability::Repeatable : Delivery::Repeatability::AtMostOnce);
         VERIFY(record->may_dispatch());
         record->about_to_send();
-        auto answer
+        auto backend_response
             = Platform::call_http(admitted.address, to_backend_request(*call, admitted.organisation), call->deadline);
         auto was_rejected = backend_response && backend_response.value().headers.contains(not_started_header);
         if (backend_response && !was_rejected) {
--- a/Tests/LibServing/TestEvacuations.cpp
+++ b/Tests/LibServing/TestEvacuations.cpp
@@ -211,12 +211,12 @@
     std::vector<FailureDomainId> const silent { hall_b };
     auto unreachable = host.context.backends.find(EngineId("b1"));
     unreachable->health.unreachable_at = host.now;
-    auto unreachable_services = [&] { return unreachable_services(host.context.backends, routing, silent, host.now); };
-    CHECK(unreachable_services().empty());
+    auto find_unreachable = [&] { return unreachable_services(host.context.backends, routing, silent, host.now); };
+    CHECK(find_unreachable().empty());
     WHEN("its own domain is evacuated and the other one is partitioned")
     {
         host.evacuations.apply_order(hall_a, 7);
-        CHECK(unreachable_services() == std::vector { ServiceName("models") });
+        CHECK(find_unreachable() == std::vector { ServiceName("models") });
     }
     WHEN("all domains are evacuated")
     {
@@ -224,7 +224,7 @@
         host.evacuations.apply_order(hall_b, 8);
         THEN("the host stays ready and rejects requests at once, since no other host could serve them")
         {
-            CHECK(unreachable_services().empty());
+            CHECK(find_unreachable().empty());
         }
     }
 }
