--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -468,7 +468,7 @@
     if (this->leaving)
         return "leaving";
     if (!this->configuration_known)
-        return "no configuration yet: neither the platform nor a peer has responded";
+        return "no configuration yet: neither the platform nor a peer has answered";
     if (!this->router_known)
         return "no router of this failure domain is known yet";
     return "ready";
--- a/Libraries/LibNode/StatusServer.cpp
+++ b/Libraries/LibNode/StatusServer.cpp
@@ -36,8 +36,7 @@
     {
         auto const& path = request.getURI();
         if (path == "/health/live")
-            this->respond_health(
-                response, this->node.is_live(), this->node.is_live() ? "live" : "the event loop is stuck");
+            this->respond_health(response, this->node.is_live(), this->node.is_live() ? "live" : "the loop is stuck");
         else if (path == "/health/ready")
             this->respond_health(response, this->node.is_ready(), this->node.readiness_reason());
         else if (path == "/metrics")
