--- a/Libraries/LibServing/ServerLimits.cpp
+++ b/Libraries/LibServing/ServerLimits.cpp
@@ -64,7 +64,8 @@
     auto& share = this->shares[{ server.id, server.start, bound.reason }];
     if (share.total != bound.requests) {
         auto const subject = server.id.value() + '/' + std::to_string(server.start.value());
-        auto const units = this->reach.share_of(bound.requests, this->own_address, subject, server.failure_domain, now);
+        auto const units
+            = this->reachability.share_of(bound.requests, this->own_address, subject, server.failure_domain, now);
         share = { bound.requests, units, now };
     }
     return share.units;
@@ -75,7 +76,7 @@
     if (!bound)
         return true;
     // The requests of this host's previous process count as well. They have left the window by then.
-    if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->window)
+    if (this->reachability.fleet_known_for(now).value_or(Duration(0)) < bound->window)
         return false;
     return backend.sent.upper_bound_within(bound->window, now) < this->own_share(backend, *bound, now);
 }
--- a/Libraries/LibServing/ServingContext.h
+++ b/Libraries/LibServing/ServingContext.h
@@ -82,9 +82,9 @@
     {
         auto now = this->now();
         auto const& own_domain = this->settings.failure_domain;
-        return { own_domain, this->reach.silent_domains(now), now, other_domain_cost, {}, own_domain,
+        return { own_domain, this->reachability.silent_domains(now), now, other_domain_cost, {}, own_domain,
             this->placements.estimate_unseen(
-                now, this->reach.reachable_local_hosts(now) + 1, this->remote_estimate_age),
+                now, this->reachability.reachable_local_hosts(now) + 1, this->remote_estimate_age),
             &this->server_limits };
     }
 };
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -241,7 +241,7 @@
     Libraries/LibServing/ServerLimits.cpp "< this->own_share(backend, *bound, now)" "< bound->requests"
 guard "cold servers: a host that starts has none" TestFleet \
     "Scenario: all hosts together send a cold server no more than it bears" \
-    Libraries/LibServing/ServerLimits.cpp "if (this->reach.fleet_known_for(now).value_or(Duration(0)) < bound->window)" "if (false)"
+    Libraries/LibServing/ServerLimits.cpp "if (this->reachability.fleet_known_for(now).value_or(Duration(0)) < bound->window)" "if (false)"
 guard "admission: memory" TestFleet \
     "Scenario: a load beyond what the engines bear does not bring down what they serve in time" \
     Libraries/LibServing/Admission.cpp "return held + wanted + reserve <= memory.value();" "return true;"
