--- a/Libraries/LibServing/AllowanceShare.h
+++ b/Libraries/LibServing/AllowanceShare.h
@@ -12,9 +12,9 @@
 namespace Serving {
 
 /// Updates the number of hosts that share the allowance in the budget from the set of hosts known here.
-inline void share_allowance(RetryBudget& budget, Reachability const& reach, Instant now)
+inline void share_allowance(RetryBudget& budget, Reachability const& reachability, Instant now)
 {
-    budget.set_sharing_hosts(reach.fleet_size(now), now);
+    budget.set_sharing_hosts(reachability.fleet_size(now), now);
 }
 
 }
--- a/Libraries/LibServing/EnginePoller.h
+++ b/Libraries/LibServing/EnginePoller.h
@@ -70,7 +70,7 @@
         ++this->rounds;
         this->local_count = std::ranges::count_if(
             this->context.backends.all(), [this](auto const& entry) { return this->is_local(*entry.second); });
-        bool const is_partitioned = this->context.reach.is_partitioned(this->context.now());
+        bool const is_partitioned = this->context.reachability.is_partitioned(this->context.now());
         for (auto const& backend : this->context.backends.running()) {
             if (this->is_engine(*backend) && this->wants_report_of(*backend, is_partitioned))
                 this->poll(backend);
@@ -99,7 +99,7 @@
     [[nodiscard]] bool is_responsible_for(Backend const& backend) const
     {
         auto const& own_address = this->context.settings.peer_address;
-        return this->context.reach.is_responsible_for(
+        return this->context.reachability.is_responsible_for(
             own_address, backend.server.id.value(), backend.server.failure_domain, this->context.now());
     }
 
--- a/Libraries/LibServing/Generation.h
+++ b/Libraries/LibServing/Generation.h
@@ -93,7 +93,7 @@
         auto const& domain = engine.server.failure_domain;
         if (domain == this->context.settings.failure_domain)
             return "0";
-        auto age = this->context.reach.domain_message_age(domain, this->context.now());
+        auto age = this->context.reachability.domain_message_age(domain, this->context.now());
         return age == Duration::max() ? "never" : std::to_string(AK::to_milliseconds(age));
     }
 
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -174,11 +174,11 @@
     {
         Platform::FollowerObserver observer;
         observer.unavailable = [this, table](Error const& error) {
-            this->context.reach.set_platform_unavailable();
+            this->context.reachability.set_platform_unavailable();
             this->log.event(Core::EventNumber::PlatformUnavailable, table).with("reason", error.message);
         };
         observer.available = [this, table] {
-            this->context.reach.set_platform_available();
+            this->context.reachability.set_platform_available();
             this->log.event(Core::EventNumber::PlatformAvailable, table);
         };
         return observer;
@@ -203,7 +203,7 @@
     {
         auto observer = this->make_observer(P::backend_table);
         observer.available = [this] {
-            this->context.reach.set_platform_available();
+            this->context.reachability.set_platform_available();
             this->log.event(Core::EventNumber::PlatformAvailable, P::backend_table);
             this->backends.handle_platform_recovery(this->settings.list_recovery_time);
         };
@@ -252,12 +252,13 @@
     void update_following()
     {
         auto now = this->context.now();
-        auto const& reach = this->context.reach;
+        auto const& reachability = this->context.reachability;
         auto const& own = this->peers.address();
-        bool const reads = now - this->started_at >= settling_time && reach.reads_platform(own, now);
+        bool const reads = now - this->started_at >= settling_time && reachability.reads_platform(own, now);
         auto followed = Platform::Following::None;
-        if (reads && (reach.is_platform_unavailable() || reach.is_primary_reader(own, now)))
-            followed = reach.is_leading_reader(own, now) ? Platform::Following::Prompt : Platform::Following::Standby;
+        if (reads && (reachability.is_platform_unavailable() || reachability.is_primary_reader(own, now)))
+            followed
+                = reachability.is_leading_reader(own, now) ? Platform::Following::Prompt : Platform::Following::Standby;
         this->configuration_follower.set_following(reads ? Platform::Following::Prompt : Platform::Following::None);
         this->backend_follower.set_following(followed);
     }
@@ -346,7 +347,7 @@
     void update_reach()
     {
         auto now = this->context.now();
-        this->log_silent_domains(this->context.reach.silent_domains(now));
+        this->log_silent_domains(this->context.reachability.silent_domains(now));
         if (!this->context.routing)
             return;
         auto unreachable
@@ -385,7 +386,7 @@
         if (now < this->next_share_at)
             return;
         this->next_share_at = now + share_period;
-        share_allowance(this->context.budget, this->context.reach, now);
+        share_allowance(this->context.budget, this->context.reachability, now);
     }
 
     void await_signal()
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -78,7 +78,7 @@
 void PeerLink::update_known_hosts(std::vector<KnownHost> hosts)
 {
     std::erase_if(hosts, [this](KnownHost const& host) { return host.address == this->address(); });
-    this->context.reach.update_known_hosts(hosts, this->context.now());
+    this->context.reachability.update_known_hosts(hosts, this->context.now());
     for (auto const& [address, domain] : hosts) {
         if (domain == this->context.settings.failure_domain && this->peers.insert(address).second)
             this->send_full_state(address, true);
@@ -142,7 +142,7 @@
         this->unreachable_window_start = now;
         this->unreachable_announced = 0;
     }
-    if (++this->unreachable_announced > max_unreachable_announced || this->context.reach.is_partitioned(now))
+    if (++this->unreachable_announced > max_unreachable_announced || this->context.reachability.is_partitioned(now))
         return;
     wire::HostUse message;
     auto& unreachable = *message.add_unreachable();
@@ -157,7 +157,7 @@
     auto now = this->context.now();
     std::vector<Address> reachable;
     for (auto const& address : this->peers) {
-        if (this->context.reach.is_reachable(address, now))
+        if (this->context.reachability.is_reachable(address, now))
             reachable.push_back(address);
     }
     return reachable;
@@ -178,8 +178,8 @@
 {
     update.set_failure_domain(this->context.settings.failure_domain.value());
     this->send_through_relays(update, this->reachable_local_addresses());
-    this->send(
-        this->context.reach.remote_receivers(++this->remote_messages_sent, this->context.now()), std::move(update));
+    this->send(this->context.reachability.remote_receivers(++this->remote_messages_sent, this->context.now()),
+        std::move(update));
 }
 
 void PeerLink::fetch_updates(Address const& host, std::string const& table, u64 version)
@@ -214,14 +214,14 @@
 
 Duration PeerLink::domain_delta_delay() const
 {
-    auto further_hosts
-        = std::max<i64>(0, static_cast<i64>(this->context.reach.remote_host_count()) - remote_hosts_without_delay);
+    auto further_hosts = std::max<i64>(
+        0, static_cast<i64>(this->context.reachability.remote_host_count()) - remote_hosts_without_delay);
     return delta_delay + further_hosts * delta_delay_per_remote_host;
 }
 
 size_t PeerLink::own_representative_rank() const
 {
-    return this->context.reach.representatives_before(this->address(), this->context.now());
+    return this->context.reachability.representatives_before(this->address(), this->context.now());
 }
 
 void PeerLink::schedule_full_state()
@@ -262,7 +262,7 @@
 {
     auto now = this->context.now();
     for (auto const& address : this->peers) {
-        if (!this->context.reach.is_reachable(address, now))
+        if (!this->context.reachability.is_reachable(address, now))
             this->send_full_state(address, true);
     }
 }
@@ -300,7 +300,7 @@
 
 void PeerLink::complete_full_state(wire::HostUse& message, Duration period)
 {
-    auto const own = this->context.reach.own_status(period, this->context.now());
+    auto const own = this->context.reachability.own_status(period, this->context.now());
     message.set_failure_domain(own.domain.value());
     message.set_period_milliseconds(static_cast<u32>(AK::to_milliseconds(own.period)));
     message.set_platform_is_lost(own.platform_unavailable);
@@ -327,8 +327,8 @@
 {
     message.set_failure_domain(this->context.settings.failure_domain.value());
     message.set_domain_speaker(this->address().value());
-    this->send(
-        this->context.reach.remote_receivers(++this->remote_messages_sent, this->context.now()), std::move(message));
+    this->send(this->context.reachability.remote_receivers(++this->remote_messages_sent, this->context.now()),
+        std::move(message));
 }
 
 void PeerLink::send_full_state(Address const& peer, bool wants_answer)
@@ -370,7 +370,7 @@
     if (!envelope.has_platform_news())
         return;
     auto const& update = envelope.platform_news();
-    this->context.reach.record_message(sender, this->context.now());
+    this->context.reachability.record_message(sender, this->context.now());
     this->observer.update_received(
         update, FailureDomainId(update.failure_domain()) == this->context.settings.failure_domain);
 }
@@ -385,15 +385,15 @@
 void PeerLink::handle_host_message(Address const& sender, std::string const& name, wire::HostUse const& message)
 {
     auto now = this->context.now();
-    if (!this->context.reach.is_reachable(sender, now))
+    if (!this->context.reachability.is_reachable(sender, now))
         this->context.log.event(Core::EventNumber::MemberJoined, name).with("address", sender);
     if (message.is_whole()) {
         auto const status = status_in(message);
-        this->context.reach.record_message(sender, status, now);
+        this->context.reachability.record_message(sender, status, now);
         if (status.domain == this->context.settings.failure_domain)
             this->peers.insert(sender);
     } else {
-        this->context.reach.record_message(sender, now);
+        this->context.reachability.record_message(sender, now);
     }
     this->use.apply(MemberId(name), message, this->context.backends, now);
     if (message.engines_size() > 0)
@@ -417,13 +417,13 @@
     auto now = this->context.now();
     Address const representative(message.domain_speaker());
     if (message.is_whole())
-        this->context.reach.record_message(representative, status_in(message), now);
+        this->context.reachability.record_message(representative, status_in(message), now);
     else
-        this->context.reach.record_message(representative, now);
+        this->context.reachability.record_message(representative, now);
     // A message received from the representative itself is for all hosts of this domain.
     bool const is_relayed = sender != representative;
     if (is_relayed)
-        this->context.reach.record_message(sender, now);
+        this->context.reachability.record_message(sender, now);
     this->send_through_relays(
         message, is_relayed ? addresses_of(message.relay_to()) : this->reachable_local_addresses());
     this->use.apply(MemberId(domain.value()), message, this->context.backends, now);
--- a/Libraries/LibServing/QuarantineTable.h
+++ b/Libraries/LibServing/QuarantineTable.h
@@ -38,7 +38,7 @@
     {
         forget_expired_terminations(this->context);
         // While the platform is unavailable, other components detect when it responds again.
-        bool const may_call = !this->is_calling && !this->context.reach.is_platform_unavailable();
+        bool const may_call = !this->is_calling && !this->context.reachability.is_platform_unavailable();
         if (!may_call || this->context.now() < this->next_call_at)
             return;
         if (this->needs_read())
@@ -65,7 +65,7 @@
         if (age < announcement_wait)
             return false;
         return age >= announcement_wait + primary_reader_wait
-            || this->context.reach.is_primary_reader(this->own_address, now);
+            || this->context.reachability.is_primary_reader(this->own_address, now);
     }
 
     void read_page(std::string const& first_key)
@@ -115,7 +115,7 @@
     {
         auto const key = to_text(request);
         auto const& own_domain = this->context.settings.failure_domain;
-        if (!this->context.reach.is_responsible_for(this->own_address, key, own_domain, this->context.now()))
+        if (!this->context.reachability.is_responsible_for(this->own_address, key, own_domain, this->context.now()))
             return;
         this->pending_writes[key] = {};
         if (!is_held)
--- a/Libraries/LibServing/ServerLimits.h
+++ b/Libraries/LibServing/ServerLimits.h
@@ -19,8 +19,8 @@
 /// The requests of a window are therefore distributed by hash, over different hosts for each start of a server.
 class ServerLimits {
 public:
-    ServerLimits(Reachability const& reach, Address own_address)
-        : reach(reach)
+    ServerLimits(Reachability const& reachability, Address own_address)
+        : reachability(reachability)
         , own_address(std::move(own_address))
         , limit_lifetime(limit_lifetime_of(this->own_address))
     {
@@ -62,7 +62,7 @@
 
     [[nodiscard]] static Duration limit_lifetime_of(Address const& own_address);
 
-    Reachability const& reach;
+    Reachability const& reachability;
     Address own_address;
     Duration limit_lifetime;
     std::shared_ptr<RoutingTable const> routing;
--- a/Libraries/LibServing/ServingContext.h
+++ b/Libraries/LibServing/ServingContext.h
@@ -29,8 +29,8 @@
         , log(log)
         , connections(loop)
         , budget(settings.retry_budget)
-        , reach(settings.failure_domain)
-        , server_limits(reach, settings.peer_address)
+        , reachability(settings.failure_domain)
+        , server_limits(reachability, settings.peer_address)
         , processes(loop)
         , random(settings.random_seed)
     {
@@ -43,7 +43,7 @@
     Http::ConnectionPool connections;
     BackendTable backends;
     RetryBudget budget;
-    Reachability reach;
+    Reachability reachability;
     ServerLimits server_limits;
     PlacementRate placements;
     ProcessCheck processes;
--- a/Libraries/LibServing/TableUpdateExchange.h
+++ b/Libraries/LibServing/TableUpdateExchange.h
@@ -42,7 +42,7 @@
         message.set_recovery_left_milliseconds(static_cast<u32>(AK::to_milliseconds(this->backends.recovery_left())));
         put_rows(message, update.page.changes, max_update_bytes);
         this->logs[message.table()].add(message);
-        if (this->context.reach.is_primary_reader(this->peers.address(), this->context.now()))
+        if (this->context.reachability.is_primary_reader(this->peers.address(), this->context.now()))
             this->peers.announce_update(std::move(message));
     }
 
--- a/Tests/Fleet/ModelFleet.h
+++ b/Tests/Fleet/ModelFleet.h
@@ -118,7 +118,7 @@
         FailureDomainId domain;
         double weight { 1 };
         std::optional<Serving::RetryBudget> budget;
-        std::optional<Serving::Reachability> reach;
+        std::optional<Serving::Reachability> reachability;
         std::optional<Instant> reads_directory_at;
         Instant next_broadcast {};
         std::vector<StateMessage> inbox;
@@ -133,7 +133,7 @@
     void start(SimulatedHost& host)
     {
         host.budget.emplace(this->shape.limits);
-        host.reach.emplace(host.domain);
+        host.reachability.emplace(host.domain);
         host.inbox.clear();
         host.reads_directory_at = this->now + directory_delay;
         host.next_broadcast = this->now + this->draw_up_to(broadcast_period);
@@ -160,7 +160,7 @@
             if (other.address != host.address)
                 known_hosts.push_back({ other.address, other.domain });
         }
-        host.reach->update_known_hosts(known_hosts, this->now);
+        host.reachability->update_known_hosts(known_hosts, this->now);
     }
 
     void exchange_states()
@@ -169,12 +169,12 @@
             this->read_directory(host);
             for (auto const& message : host.inbox) {
                 if (message.arrives_at <= this->now)
-                    host.reach->record_message(message.from, message.status, this->now);
+                    host.reachability->record_message(message.from, message.status, this->now);
             }
             std::erase_if(host.inbox, [&](StateMessage const& message) { return message.arrives_at <= this->now; });
             if (this->now >= host.next_broadcast)
                 this->broadcast_state(host);
-            Serving::share_allowance(*host.budget, *host.reach, this->now);
+            Serving::share_allowance(*host.budget, *host.reachability, this->now);
         }
     }
 
@@ -182,8 +182,8 @@
     void broadcast_state(SimulatedHost& host)
     {
         host.next_broadcast = this->now + broadcast_period;
-        auto const status = host.reach->own_status(broadcast_period, this->now);
-        bool const is_representative = host.reach->is_representative(host.address, this->now);
+        auto const status = host.reachability->own_status(broadcast_period, this->now);
+        bool const is_representative = host.reachability->is_representative(host.address, this->now);
         for (auto& other : this->hosts) {
             if (can_communicate(host, other) && (is_representative || other.domain == host.domain))
                 other.inbox.push_back({ this->now + this->draw_up_to(max_delay), host.address, status });
--- a/Tests/Fleet/TestColdServers.cpp
+++ b/Tests/Fleet/TestColdServers.cpp
@@ -132,15 +132,15 @@
     struct SimulatedHost {
         Address address;
         FailureDomainId domain;
-        std::unique_ptr<Reachability> reach;
+        std::unique_ptr<Reachability> reachability;
         std::unique_ptr<ServerLimits> server_limits;
         BackendTable table;
     };
 
     void reset_host(SimulatedHost& host)
     {
-        host.reach = std::make_unique<Reachability>(host.domain);
-        host.server_limits = std::make_unique<ServerLimits>(*host.reach, host.address);
+        host.reachability = std::make_unique<Reachability>(host.domain);
+        host.server_limits = std::make_unique<ServerLimits>(*host.reachability, host.address);
         host.server_limits->configure(this->routing);
         host.table = {};
         for (auto const& [id, server] : this->servers)
@@ -154,7 +154,7 @@
             if (other.address != host.address)
                 known.push_back({ other.address, other.domain });
         }
-        host.reach->update_known_hosts(known, this->now);
+        host.reachability->update_known_hosts(known, this->now);
     }
 
     void exchange_states()
@@ -164,8 +164,8 @@
         for (auto& host : this->hosts) {
             for (auto const& other : this->hosts) {
                 if (other.domain == host.domain && other.address != host.address)
-                    host.reach->record_message(
-                        other.address, other.reach->own_status(broadcast_period, this->now), this->now);
+                    host.reachability->record_message(
+                        other.address, other.reachability->own_status(broadcast_period, this->now), this->now);
             }
         }
     }
@@ -273,8 +273,8 @@
 
 SCENARIO("no bound applies to a warm server or to a service without one")
 {
-    Reachability reach(FailureDomainId("hall-a"));
-    ServerLimits server_limits(reach, Address("10.0.0.1:1"));
+    Reachability reachability(FailureDomainId("hall-a"));
+    ServerLimits server_limits(reachability, Address("10.0.0.1:1"));
     Configuration configuration;
     Service bounded;
     bounded.name = ServiceName("models");
--- a/Tests/Fleet/TestNamedLimits.cpp
+++ b/Tests/Fleet/TestNamedLimits.cpp
@@ -180,7 +180,7 @@
             if (other.address != host.address)
                 known.push_back({ other.address, other.domain });
         }
-        host.context->reach.update_known_hosts(known, this->now);
+        host.context->reachability.update_known_hosts(known, this->now);
     }
 
     void broadcast(SimulatedHost const& from, wire::HostUse const& message)
--- a/Tests/LibServing/TestPeerLink.cpp
+++ b/Tests/LibServing/TestPeerLink.cpp
@@ -120,8 +120,8 @@
             return this->all_of([&](PeerHost const& other) {
                 return &other == &host
                     || (other.domain() == host.domain()
-                            ? host.context.reach.is_reachable(other.address(), now)
-                            : host.context.reach.domain_message_age(other.domain(), now) < 1s);
+                            ? host.context.reachability.is_reachable(other.address(), now)
+                            : host.context.reachability.domain_message_age(other.domain(), now) < 1s);
             });
         });
     }
@@ -130,7 +130,7 @@
     {
         return std::ranges::find_if(this->hosts, [&](PeerHost const& host) {
             return host.domain() == FailureDomainId(domain)
-                && host.context.reach.representatives_before(host.address(), host.context.now()) == 0;
+                && host.context.reachability.representatives_before(host.address(), host.context.now()) == 0;
         });
     }
 
@@ -152,7 +152,7 @@
         for (auto const& host : fleet.hosts) {
             auto reachable_remote_hosts = std::ranges::count_if(fleet.hosts, [&](PeerHost const& other) {
                 return other.domain() != host.domain()
-                    && host.context.reach.is_reachable(other.address(), host.context.now());
+                    && host.context.reachability.is_reachable(other.address(), host.context.now());
             });
             // Two representatives of each of the two other domains.
             CHECK(reachable_remote_hosts <= 2 * static_cast<i64>(Reachability::representatives_per_domain));
@@ -206,7 +206,8 @@
     PeerFleet fleet({ "hall-a", "hall-b" }, 3);
     fleet.until_connected();
     auto all_count = [](u32 hosts) {
-        return [hosts](PeerHost const& host) { return host.context.reach.fleet_size(host.context.now()) == hosts; };
+        return
+            [hosts](PeerHost const& host) { return host.context.reachability.fleet_size(host.context.now()) == hosts; };
     };
     fleet.until_all(all_count(6));
     auto& joined = fleet.hosts.emplace_back(fleet.loop, "hall-b-new", "hall-b");
@@ -240,5 +241,5 @@
     auto const later = remaining.now() + 1s;
     Test::run_until(fleet.loop, [&] { return remaining.now() > later; });
     CHECK(fleet.hosts.size() == 1);
-    CHECK(remaining.reach.reachable_local_hosts(remaining.now()) == 0);
+    CHECK(remaining.reachability.reachable_local_hosts(remaining.now()) == 0);
 }
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -125,43 +125,43 @@
 
 SCENARIO("a host detects a partition by the hosts that are silent")
 {
-    Reachability reach(FailureDomainId("hall-a"));
+    Reachability reachability(FailureDomainId("hall-a"));
     Instant now { 100s };
-    CHECK_FALSE(reach.is_partitioned(now));
-    reach.record_message(Address("10.0.0.1:1"), { FailureDomainId("hall-a"), 400ms }, now);
-    reach.record_message(Address("10.0.0.2:1"), { FailureDomainId("hall-b"), 400ms }, now);
-    reach.record_message(Address("10.0.0.3:1"), { FailureDomainId("hall-b"), 400ms }, now);
+    CHECK_FALSE(reachability.is_partitioned(now));
+    reachability.record_message(Address("10.0.0.1:1"), { FailureDomainId("hall-a"), 400ms }, now);
+    reachability.record_message(Address("10.0.0.2:1"), { FailureDomainId("hall-b"), 400ms }, now);
+    reachability.record_message(Address("10.0.0.3:1"), { FailureDomainId("hall-b"), 400ms }, now);
 
-    CHECK_FALSE(reach.is_partitioned(now + 900ms));
+    CHECK_FALSE(reachability.is_partitioned(now + 900ms));
     WHEN("one host of another domain is silent")
     {
-        reach.record_message(Address("10.0.0.1:1"), now + 2s);
-        reach.record_message(Address("10.0.0.2:1"), now + 2s);
-        CHECK(reach.is_reachable(Address("10.0.0.2:1"), now + 2s));
-        CHECK_FALSE(reach.is_reachable(Address("10.0.0.3:1"), now + 2s));
-        CHECK(reach.silent_domains(now + 2s).empty());
+        reachability.record_message(Address("10.0.0.1:1"), now + 2s);
+        reachability.record_message(Address("10.0.0.2:1"), now + 2s);
+        CHECK(reachability.is_reachable(Address("10.0.0.2:1"), now + 2s));
+        CHECK_FALSE(reachability.is_reachable(Address("10.0.0.3:1"), now + 2s));
+        CHECK(reachability.silent_domains(now + 2s).empty());
     }
     WHEN("all hosts of another domain are silent")
     {
-        reach.record_message(Address("10.0.0.1:1"), now + 2s);
-        CHECK(reach.silent_domains(now + 2s) == std::vector { FailureDomainId("hall-b") });
-        CHECK_FALSE(reach.is_partitioned(now + 2s));
+        reachability.record_message(Address("10.0.0.1:1"), now + 2s);
+        CHECK(reachability.silent_domains(now + 2s) == std::vector { FailureDomainId("hall-b") });
+        CHECK_FALSE(reachability.is_partitioned(now + 2s));
     }
     WHEN("all are silent")
     {
-        CHECK(reach.is_partitioned(now + 2s));
+        CHECK(reachability.is_partitioned(now + 2s));
         THEN("after a long time they no longer indicate a partition")
         {
-            CHECK_FALSE(reach.is_partitioned(now + 100s));
-            CHECK(reach.silent_domains(now + 100s).empty());
+            CHECK_FALSE(reachability.is_partitioned(now + 100s));
+            CHECK(reachability.silent_domains(now + 100s).empty());
         }
     }
     WHEN("the platform is unavailable")
     {
-        reach.set_platform_unavailable();
-        CHECK(reach.is_partitioned(now));
-        reach.set_platform_available();
-        CHECK_FALSE(reach.is_partitioned(now));
+        reachability.set_platform_unavailable();
+        CHECK(reachability.is_partitioned(now));
+        reachability.set_platform_available();
+        CHECK_FALSE(reachability.is_partitioned(now));
     }
     THEN("exactly one host is responsible for each engine, and another one takes over when it is silent")
     {
@@ -194,17 +194,17 @@
         std::set<int> readers;
         primary_readers = 0;
         for (int own = 0; own < count; ++own) {
-            Reachability reach(FailureDomainId("hall-a"));
+            Reachability reachability(FailureDomainId("hall-a"));
             for (int other = 0; other < count; ++other) {
                 if (other != own)
-                    reach.record_message(
+                    reachability.record_message(
                         address(other), { FailureDomainId("hall-a"), 400ms, rejected.contains(other) }, now);
             }
             if (with_other_domain)
-                reach.record_message(address(99), { FailureDomainId("hall-b"), 400ms }, now);
-            if (reach.reads_platform(address(own), now))
+                reachability.record_message(address(99), { FailureDomainId("hall-b"), 400ms }, now);
+            if (reachability.reads_platform(address(own), now))
                 readers.insert(own);
-            primary_readers += reach.is_primary_reader(address(own), now) ? 1 : 0;
+            primary_readers += reachability.is_primary_reader(address(own), now) ? 1 : 0;
         }
         return readers;
     };
@@ -221,13 +221,13 @@
     }
     THEN("updates are sent to a reader of each other domain")
     {
-        Reachability reach(FailureDomainId("hall-a"));
-        reach.record_message(address(1), { FailureDomainId("hall-b"), 400ms }, now);
-        reach.record_message(address(2), { FailureDomainId("hall-b"), 400ms }, now);
-        reach.record_message(address(3), { FailureDomainId("hall-c"), 400ms, true }, now);
+        Reachability reachability(FailureDomainId("hall-a"));
+        reachability.record_message(address(1), { FailureDomainId("hall-b"), 400ms }, now);
+        reachability.record_message(address(2), { FailureDomainId("hall-b"), 400ms }, now);
+        reachability.record_message(address(3), { FailureDomainId("hall-c"), 400ms, true }, now);
         // If the only reachable host of a domain is rejected by the platform, the update is sent to it nevertheless: it
         // forwards the update within its domain.
-        CHECK(reach.remote_receivers(0, now) == std::vector { address(1), address(3) });
+        CHECK(reachability.remote_receivers(0, now) == std::vector { address(1), address(3) });
     }
 }
 
@@ -239,15 +239,15 @@
     auto representatives_among = [&](std::set<int> const& silent, std::set<int> const& rejected) {
         std::set<int> representatives;
         for (int own = 0; own < count; ++own) {
-            Reachability reach(FailureDomainId("hall-a"));
+            Reachability reachability(FailureDomainId("hall-a"));
             if (rejected.contains(own))
-                reach.set_platform_unavailable();
+                reachability.set_platform_unavailable();
             for (int other = 0; other < count; ++other) {
                 if (other != own && !silent.contains(other))
-                    reach.record_message(
+                    reachability.record_message(
                         address(other), { FailureDomainId("hall-a"), 400ms, rejected.contains(other) }, now);
             }
-            if (!silent.contains(own) && reach.is_representative(address(own), now))
+            if (!silent.contains(own) && reachability.is_representative(address(own), now))
                 representatives.insert(own);
         }
         return representatives;
@@ -289,20 +289,20 @@
         std::vector<std::string> found;
         for (auto const& domain : domains) {
             for (int own = 0; own < hosts; ++own) {
-                Reachability reach { FailureDomainId(domain) };
+                Reachability reachability { FailureDomainId(domain) };
                 if (domain == rejected)
-                    reach.set_platform_unavailable();
+                    reachability.set_platform_unavailable();
                 for (auto const& other : domains) {
                     // Only two hosts of each other domain send messages.
                     for (int host = 0; host < (other == domain ? hosts : 2); ++host) {
                         bool const is_reachable
                             = (other != domain || host != own) && (other == domain || other != silent);
                         if (is_reachable)
-                            reach.record_message(
+                            reachability.record_message(
                                 address(other, host), { FailureDomainId(other), 400ms, other == rejected }, now);
                     }
                 }
-                if (reach.is_leading_reader(address(domain, own), now))
+                if (reachability.is_leading_reader(address(domain, own), now))
                     found.push_back(domain);
             }
         }
@@ -321,19 +321,19 @@
 
 SCENARIO("another domain is told through the host last heard of it, and through any where none is heard")
 {
-    Reachability reach(FailureDomainId("hall-a"));
+    Reachability reachability(FailureDomainId("hall-a"));
     Instant const now { 100s };
     constexpr int count = 59;
     auto address = [](int host) { return Address("10.0.0." + std::to_string(host) + ":1"); };
     std::vector<KnownHost> rows;
     for (int host = 0; host < count; ++host)
         rows.push_back({ address(host), FailureDomainId("hall-b") });
-    reach.update_known_hosts(rows, now);
+    reachability.update_known_hosts(rows, now);
     THEN("two hosts are probed at a time, and all hosts are probed over time")
     {
         std::set<Address> tried;
         for (u64 draw = 0; draw < 400; ++draw) {
-            auto receivers = reach.remote_receivers(draw, now);
+            auto receivers = reachability.remote_receivers(draw, now);
             CHECK(receivers.size() == Reachability::probes_per_silent_domain);
             tried.insert(receivers.begin(), receivers.end());
         }
@@ -341,69 +341,72 @@
     }
     WHEN("one host has sent a message")
     {
-        reach.record_message(address(7), { FailureDomainId("hall-b"), 500ms }, now);
-        CHECK(reach.remote_receivers(1, now + 400ms) == std::vector { address(7) });
-        CHECK(reach.domain_message_age(FailureDomainId("hall-b"), now + 400ms) == 400ms);
+        reachability.record_message(address(7), { FailureDomainId("hall-b"), 500ms }, now);
+        CHECK(reachability.remote_receivers(1, now + 400ms) == std::vector { address(7) });
+        CHECK(reachability.domain_message_age(FailureDomainId("hall-b"), now + 400ms) == 400ms);
         AND_WHEN("another host has sent a message since")
         {
-            reach.record_message(address(8), { FailureDomainId("hall-b"), 500ms }, now + 300ms);
-            CHECK(reach.remote_receivers(1, now + 400ms) == std::vector { address(8) });
+            reachability.record_message(address(8), { FailureDomainId("hall-b"), 500ms }, now + 300ms);
+            CHECK(reachability.remote_receivers(1, now + 400ms) == std::vector { address(8) });
         }
         AND_WHEN("it has been silent for long")
         {
-            CHECK(reach.remote_receivers(1, now + 3s).size() == Reachability::probes_per_silent_domain);
+            CHECK(reachability.remote_receivers(1, now + 3s).size() == Reachability::probes_per_silent_domain);
         }
     }
 }
 
 SCENARIO("a host counts all hosts that may be serving, including those that it cannot reach")
 {
-    Reachability reach(FailureDomainId("hall-a"));
+    Reachability reachability(FailureDomainId("hall-a"));
     Instant now { 100s };
     auto host = [](std::string const& domain, int number) {
         return KnownHost { Address(domain + ':' + std::to_string(number)), FailureDomainId(domain) };
     };
     auto receive_from = [&](KnownHost const& known, u32 hosts_of_domain = 0) {
-        reach.record_message(known.address, { known.domain, 500ms, false, hosts_of_domain }, now);
+        reachability.record_message(known.address, { known.domain, 500ms, false, hosts_of_domain }, now);
     };
     receive_from(host("hall-a", 1));
     THEN("the number is unknown before it has read the platform's table")
     {
-        CHECK_FALSE(reach.fleet_size(now).has_value());
-        CHECK(reach.own_status(500ms, now).hosts_of_domain == 0);
+        CHECK_FALSE(reachability.fleet_size(now).has_value());
+        CHECK(reachability.own_status(500ms, now).hosts_of_domain == 0);
     }
     GIVEN("the table of hosts")
     {
         std::vector const rows { host("hall-a", 1), host("hall-a", 2), host("hall-b", 1), host("hall-b", 2) };
-        reach.update_known_hosts(rows, now);
-        CHECK(reach.fleet_size(now) == 5U);
-        CHECK(reach.own_status(500ms, now).hosts_of_domain == 3);
+        reachability.update_known_hosts(rows, now);
+        CHECK(reachability.fleet_size(now) == 5U);
+        CHECK(reachability.own_status(500ms, now).hosts_of_domain == 3);
         WHEN("a host of its domain that is not in the table sends a message")
         {
             receive_from(host("hall-a", 3));
-            CHECK(reach.fleet_size(now) == 6U);
-            CHECK(reach.own_status(500ms, now).hosts_of_domain == 4);
+            CHECK(reachability.fleet_size(now) == 6U);
+            CHECK(reachability.own_status(500ms, now).hosts_of_domain == 4);
         }
         WHEN("another domain reports its number of hosts")
         {
             receive_from(host("hall-b", 1), 7);
-            CHECK(reach.fleet_size(now) == 10U);
+            CHECK(reachability.fleet_size(now) == 10U);
             AND_WHEN("a representative that has just started does not know the number yet")
             {
                 receive_from(host("hall-b", 2), 0);
-                CHECK(reach.fleet_size(now) == 10U);
+                CHECK(reachability.fleet_size(now) == 10U);
             }
         }
         WHEN("it is partitioned from all other hosts for an hour")
         {
             now += 1h;
-            THEN("the other hosts count, since they may still be serving") { CHECK(reach.fleet_size(now) == 5U); }
+            THEN("the other hosts count, since they may still be serving")
+            {
+                CHECK(reachability.fleet_size(now) == 5U);
+            }
         }
         WHEN("hosts have been silent for longer than partitions last")
         {
             now += 3h;
             receive_from(host("hall-a", 1));
-            THEN("they no longer count") { CHECK(reach.fleet_size(now) == 2U); }
+            THEN("they no longer count") { CHECK(reachability.fleet_size(now) == 2U); }
         }
     }
 }
--- a/Tests/LibServing/TestQuarantineTable.cpp
+++ b/Tests/LibServing/TestQuarantineTable.cpp
@@ -143,7 +143,7 @@
         THEN("requests to it are rate-limited") { CHECK(store.reads <= 5); }
         WHEN("it is known to be unavailable")
         {
-            host.context.reach.set_platform_unavailable();
+            host.context.reachability.set_platform_unavailable();
             host.hold(request);
             auto const before = store.reads + store.writes;
             host.advance(10s);
@@ -151,7 +151,7 @@
             THEN("the table is read and written once it is available again")
             {
                 store.fails = false;
-                host.context.reach.set_platform_available();
+                host.context.reachability.set_platform_available();
                 host.advance(2s);
                 CHECK(host.context.knows_quarantine);
                 CHECK(store.rows.size() == 1);
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -293,7 +293,7 @@
 {
     rc::prop("with a single host", [](std::vector<std::tuple<u8, u8, u8>> const& steps) {
         NotifiedHost host;
-        host.context.reach.update_known_hosts({}, host.now);
+        host.context.reachability.update_known_hosts({}, host.now);
         host.advance(10s);
         std::vector<std::string> const ids { "a", "b", "c" };
         for (auto const& id : ids)
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -30,14 +30,14 @@
 /// each remote domain.
 Reachability reach_of_host(i64 hosts)
 {
-    Reachability reach(domain_of(0));
+    Reachability reachability(domain_of(0));
     for (i64 host = 1; host < hosts; ++host) {
         KnownHost const known { address_of(host), domain_of(host) };
-        reach.update_known_hosts(std::span(&known, 1), now);
+        reachability.update_known_hosts(std::span(&known, 1), now);
         if (domain_of(host) == domain_of(0) || host < 2 * domain_count)
-            reach.record_message(address_of(host), { domain_of(host), 1s }, now);
+            reachability.record_message(address_of(host), { domain_of(host), 1s }, now);
     }
-    return reach;
+    return reachability;
 }
 
 void add_engines(BackendTable& table, i64 engines)
@@ -58,15 +58,17 @@
 /// Selects the engines that this host polls for reports. Runs every 350 ms.
 void round_of_reports(benchmark::State& state)
 {
-    auto const reach = reach_of_host(state.range(0));
+    auto const reachability = reach_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     auto const own = address_of(0);
     for (auto _ : state) {
         size_t mine = 0;
         for (auto const& backend : table.running())
-            mine += reach.is_responsible_for(own, backend->server.id.value(), backend->server.failure_domain, now) ? 1
-                                                                                                                   : 0;
+            mine
+                += reachability.is_responsible_for(own, backend->server.id.value(), backend->server.failure_domain, now)
+                ? 1
+                : 0;
         benchmark::DoNotOptimize(mine);
     }
 }
@@ -74,24 +76,24 @@
 /// Decides whether this host reads the platform, and for which hosts. Runs 20 times per second.
 void choice_of_reader(benchmark::State& state)
 {
-    auto const reach = reach_of_host(state.range(0));
+    auto const reachability = reach_of_host(state.range(0));
     auto const own = address_of(0);
     for (auto _ : state) {
-        benchmark::DoNotOptimize(reach.reads_platform(own, now));
-        benchmark::DoNotOptimize(reach.is_leading_reader(own, now));
-        benchmark::DoNotOptimize(reach.silent_domains(now));
+        benchmark::DoNotOptimize(reachability.reads_platform(own, now));
+        benchmark::DoNotOptimize(reachability.is_leading_reader(own, now));
+        benchmark::DoNotOptimize(reachability.silent_domains(now));
     }
 }
 
 /// Chooses the engine for one generation.
 void placement(benchmark::State& state)
 {
-    auto const reach = reach_of_host(state.range(0));
+    auto const reachability = reach_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     boost::random::mt19937 random(1);
     for (auto _ : state) {
-        ChoiceInputs const inputs { domain_of(0), reach.silent_domains(now), now, 0.3, {}, domain_of(0), 9 };
+        ChoiceInputs const inputs { domain_of(0), reachability.silent_domains(now), now, 0.3, {}, domain_of(0), 9 };
         benchmark::DoNotOptimize(choose_for_generation(table.of_service(ServiceName("models")), {},
             { TokenCount(3000), TokenCount(500) }, TokenCount(33'620), inputs, random));
     }
@@ -100,13 +102,13 @@
 /// Decides whether to admit one generation, and chooses its engine.
 void admission(benchmark::State& state)
 {
-    auto const reach = reach_of_host(state.range(0));
+    auto const reachability = reach_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     boost::random::mt19937 random(1);
     AdmissionDemand const demand { { TokenCount(3000), TokenCount(500) }, 1800ms };
     for (auto _ : state) {
-        ChoiceInputs const inputs { domain_of(0), reach.silent_domains(now), now, 0.3, {}, domain_of(0), 9 };
+        ChoiceInputs const inputs { domain_of(0), reachability.silent_domains(now), now, 0.3, {}, domain_of(0), 9 };
         benchmark::DoNotOptimize(
             admit(table.of_service(ServiceName("models")), {}, demand, TokenCount(33'620), inputs, random));
     }
