--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -277,7 +277,7 @@
         this->delta_pending = false;
         if (error)
             return;
-        if (auto changes = this->last_sent_to_hosts.delta(this->context.backends))
+        if (auto changes = this->own_use.delta(this->context.backends))
             this->broadcast(*changes);
     }));
 }
@@ -315,7 +315,7 @@
 
 void PeerLink::broadcast_full_state()
 {
-    auto message = this->last_sent_to_hosts.full_state(this->context.backends);
+    auto message = this->own_use.full_state(this->context.backends);
     this->complete_full_state(message, this->period());
     put_recent_rate_limits(message, this->context, LimitScope::Own);
     this->broadcast(message);
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -106,7 +106,7 @@
     /// The other hosts of this host's failure domain.
     std::set<Address> peers;
     PeerUse use;
-    OwnUse last_sent_to_hosts { UseScope::Host };
+    OwnUse own_use { UseScope::Host };
     OwnUse last_sent_to_domains { UseScope::Domain };
     u32 rounds { 0 };
     u64 remote_messages_sent { 0 };
