--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -249,7 +249,7 @@
         if (error)
             return;
         if (this->own_representative_rank() < Reachability::representatives_per_domain) {
-            auto message = this->last_sent_to_domains.full_state(this->context.backends);
+            auto message = this->domain_use.full_state(this->context.backends);
             this->complete_full_state(message, period);
             put_recent_rate_limits(message, this->context, LimitScope::All);
             this->send_to_remote_domains(std::move(message));
@@ -293,7 +293,7 @@
         this->domain_delta_pending = false;
         if (error || this->own_representative_rank() > 0)
             return;
-        if (auto changes = this->last_sent_to_domains.delta(this->context.backends))
+        if (auto changes = this->domain_use.delta(this->context.backends))
             this->send_to_remote_domains(std::move(*changes));
     }));
 }
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -107,7 +107,7 @@
     std::set<Address> peers;
     PeerUse use;
     OwnUse own_use { UseScope::Host };
-    OwnUse last_sent_to_domains { UseScope::Domain };
+    OwnUse domain_use { UseScope::Domain };
     u32 rounds { 0 };
     u64 remote_messages_sent { 0 };
     /// Start of the current one-second window, and the number of unreachable servers announced in it.
