--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -230,7 +230,7 @@
     this->full_state_timer.async_wait(this->guard.wrap([this](boost::system::error_code error) {
         if (error)
             return;
-        for (auto const& name : this->use.forget_silent(this->context.backends, this->context.now()))
+        for (auto const& name : this->peer_use.forget_silent(this->context.backends, this->context.now()))
             this->context.log.event(Core::EventNumber::MemberLost, name.value());
         this->broadcast_full_state();
         if (++this->rounds % rounds_between_probes == 0)
@@ -395,7 +395,7 @@
     } else {
         this->context.reachability.record_message(sender, now);
     }
-    this->use.apply(MemberId(name), message, this->context.backends, now);
+    this->peer_use.apply(MemberId(name), message, this->context.backends, now);
     if (message.engines_size() > 0)
         this->schedule_domain_delta();
     apply_suspicions(this->context, MemberId(name), message);
@@ -426,7 +426,7 @@
         this->context.reachability.record_message(sender, now);
     this->send_through_relays(
         message, is_relayed ? addresses_of(message.relay_to()) : this->reachable_local_addresses());
-    this->use.apply(MemberId(domain.value()), message, this->context.backends, now);
+    this->peer_use.apply(MemberId(domain.value()), message, this->context.backends, now);
     this->handle_leaving_list(message);
     this->handle_terminated_list(message);
     apply_refusals(this->context, message);
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -47,7 +47,7 @@
 
     /// Applies the platform's table of hosts, which may contain this host.
     void update_known_hosts(std::vector<KnownHost> hosts);
-    void backend_added(Backend& backend) { this->use.apply_to(backend); }
+    void backend_added(Backend& backend) { this->peer_use.apply_to(backend); }
     /// Announces to the other hosts that a backend server is leaving, in case they have not read it from the platform.
     void announce_leaving(Backend const&);
     /// Announces a backend server that refuses requests.
@@ -105,7 +105,7 @@
     AK::Timer domain_delta_timer;
     /// The other hosts of this host's failure domain.
     std::set<Address> peers;
-    PeerUse use;
+    PeerUse peer_use;
     OwnUse own_use { UseScope::Host };
     OwnUse domain_use { UseScope::Domain };
     u32 rounds { 0 };
