--- a/Libraries/LibServing/PlacementRate.h
+++ b/Libraries/LibServing/PlacementRate.h
@@ -22,10 +22,10 @@
         this->updated_at = now;
     }
 
-    /// Estimated number of placements that `deciders` hosts with the same rate have made within the last `age`.
-    [[nodiscard]] double estimate_unseen(Instant now, size_t deciders, Duration age) const
+    /// Estimated number of placements that `hosts` hosts with the same rate have made within the last `age`.
+    [[nodiscard]] double estimate_unseen(Instant now, size_t hosts, Duration age) const
     {
-        return this->current(now) * static_cast<double>(deciders) * AK::to_seconds(age);
+        return this->current(now) * static_cast<double>(hosts) * AK::to_seconds(age);
     }
 
 private:
--- a/Tests/LibServing/TestStaleEstimates.cpp
+++ b/Tests/LibServing/TestStaleEstimates.cpp
@@ -16,7 +16,7 @@
 /// All hosts have the same view of the engines there, and it is a quarter of a second old.
 class SpillingDomain {
 public:
-    static constexpr int deciders = 59;
+    static constexpr int hosts = 59;
     static constexpr int engines_of_domain = 26;
     static constexpr i64 memory = 33'620;
     static constexpr double placements_of_a_host_per_second = 0.65;
@@ -34,8 +34,8 @@
     int busiest_engine_of_a_second()
     {
         std::map<EngineId, int> placed;
-        auto const all = static_cast<int>(placements_of_a_host_per_second * deciders);
-        auto const placements_per_view_age = static_cast<int>(placements_of_a_host_per_second * deciders / 4);
+        auto const all = static_cast<int>(placements_of_a_host_per_second * hosts);
+        auto const placements_per_view_age = static_cast<int>(placements_of_a_host_per_second * hosts / 4);
         for (int i = 0; i < all; ++i) {
             if (i % placements_per_view_age == 0)
                 this->announce();
@@ -50,7 +50,7 @@
     {
         ChoiceInputs inputs { FailureDomainId("hall-a"), {}, Instant { 10s }, 0.3, {}, FailureDomainId("hall-a") };
         if (this->allows_for_staleness)
-            inputs.unseen_placements = placements_of_a_host_per_second * deciders * AK::to_seconds(view_age);
+            inputs.unseen_placements = placements_of_a_host_per_second * hosts * AK::to_seconds(view_age);
         return choose_for_generation(this->table.of_service(ServiceName("models")), {},
             { TokenCount(3000), TokenCount(500) }, TokenCount(memory), inputs, this->random);
     }
