--- a/Libraries/LibServing/EnginePoller.h
+++ b/Libraries/LibServing/EnginePoller.h
@@ -80,7 +80,7 @@
     [[nodiscard]] bool wants_report_of(Backend const& backend, bool is_partitioned)
     {
         if (backend.availability != Availability::Serving)
-            return this->wants_end_of(backend);
+            return this->needs_termination_time(backend);
         if (!backend.takes_work_at(this->context.now()))
             return false;
         if (is_partitioned && backend.engine.own_generations > 0)
@@ -111,7 +111,7 @@
     /// The first report after an engine's leaving notice was often made before the notice, and does not contain the
     /// termination time. The same holds for an engine that has been removed from the list. If such an engine is polled
     /// only once, many generations are moved without their second copy.
-    [[nodiscard]] bool wants_end_of(Backend const& backend) const
+    [[nodiscard]] bool needs_termination_time(Backend const& backend) const
     {
         return backend.engine.own_generations > 0 && !backend.ends_at;
     }
--- a/Libraries/LibServing/PeerLink.cpp
+++ b/Libraries/LibServing/PeerLink.cpp
@@ -277,8 +277,8 @@
         this->delta_pending = false;
         if (error)
             return;
-        if (auto changes = this->own_use.delta(this->context.backends))
-            this->broadcast(*changes);
+        if (auto delta = this->own_use.delta(this->context.backends))
+            this->broadcast(*delta);
     }));
 }
 
@@ -293,8 +293,8 @@
         this->domain_delta_pending = false;
         if (error || this->own_representative_rank() > 0)
             return;
-        if (auto changes = this->domain_use.delta(this->context.backends))
-            this->send_to_remote_domains(std::move(*changes));
+        if (auto delta = this->domain_use.delta(this->context.backends))
+            this->send_to_remote_domains(std::move(*delta));
     }));
 }
 
--- a/Libraries/LibServing/RateLimit.cpp
+++ b/Libraries/LibServing/RateLimit.cpp
@@ -50,15 +50,15 @@
         if (!backend || !backend->matches_start(ServerStart(entry.start()))
             || !std::isfinite(entry.requests_per_second()))
             continue;
-        auto const received_at = context.now() - std::chrono::milliseconds(entry.age_milliseconds());
-        if (backend->limit_reported_at && *backend->limit_reported_at >= received_at)
+        auto const reported_at = context.now() - std::chrono::milliseconds(entry.age_milliseconds());
+        if (backend->limit_reported_at && *backend->limit_reported_at >= reported_at)
             continue;
         std::optional<RequestRate> limit;
         if (entry.requests_per_second() >= 0)
             limit = RequestRate(entry.requests_per_second());
         bool const has_changed = backend->limit != limit;
         backend->limit = limit;
-        backend->limit_reported_at = received_at;
+        backend->limit_reported_at = reported_at;
         backend->limit_is_first_hand = false;
         if (has_changed)
             log_limit(context, *backend);
--- a/Libraries/LibServing/ServerNotice.cpp
+++ b/Libraries/LibServing/ServerNotice.cpp
@@ -38,26 +38,26 @@
     backend.record_leaving();
 }
 
-static void apply(ServingContext& context, Backend& backend, BackendResponseHead const& answer)
+static void apply(ServingContext& context, Backend& backend, BackendResponseHead const& head)
 {
-    if (answer.back_off_for)
-        back_off(context, backend, *answer.back_off_for);
-    if (answer.is_leaving)
+    if (head.back_off_for)
+        back_off(context, backend, *head.back_off_for);
+    if (head.is_leaving)
         record_leaving(context, backend);
 }
 
-void apply_server_notice(ServingContext& context, Backend& backend, BackendResponseHead const& answer)
+void apply_server_notice(ServingContext& context, Backend& backend, BackendResponseHead const& head)
 {
     // The response comes from another process at the same address.
-    if (answer.is_misdirected)
+    if (head.is_misdirected)
         return;
-    apply(context, backend, answer);
+    apply(context, backend, head);
     // The entry may have been removed and added again since the request was sent.
     auto const listed = context.backends.find(backend.server.id);
     if (!listed)
         return context.backends.keep_reported_state(backend, context.now());
     if (listed.get() != &backend && listed->matches_start(backend.server.start))
-        apply(context, *listed, answer);
+        apply(context, *listed, head);
 }
 
 }
--- a/Meta/prove-guards.sh
+++ b/Meta/prove-guards.sh
@@ -274,7 +274,7 @@
     Libraries/LibServing/ServerLimits.cpp "< this->own_share(backend, *bound, now)" "< bound->requests"
 guard "named limits: the later word holds" TestLibServing \
     "Scenario: the last rate limit that a server advertised applies, whichever host received it" \
-    Libraries/LibServing/RateLimit.cpp "if (backend->limit_reported_at && *backend->limit_reported_at >= received_at)" "if (false)"
+    Libraries/LibServing/RateLimit.cpp "if (backend->limit_reported_at && *backend->limit_reported_at >= reported_at)" "if (false)"
 guard "named limits: callers are sent elsewhere" TestHosts \
     "Scenario: all hosts together send a server no more than the limit that it names" \
     Libraries/LibServing/ServerLimits.cpp "&& this->is_within(this->rate_limit_bound(backend, now), backend, now)" ""
