--- a/Libraries/LibServing/AllowanceShare.h
+++ b/Libraries/LibServing/AllowanceShare.h
@@ -11,7 +11,7 @@
 
 namespace Serving {
 
-/// Updates the number of hosts that share the allowance in the budget from the set of hosts known here.
+/// Passes the number of known hosts to the budget, which divides the allowance among them.
 inline void share_allowance(RetryBudget& budget, Reachability const& reachability, Instant now)
 {
     budget.set_sharing_hosts(reachability.fleet_size(now), now);
--- a/Libraries/LibServing/PeerUse.h
+++ b/Libraries/LibServing/PeerUse.h
@@ -17,8 +17,8 @@
 /// the placements of the others into account: hosts announce every placement to each other at once.
 class PeerUse {
 public:
-    /// A host counts as terminated or partitioned, and its reported use is dropped, after a silence of three periods of
-    /// its full state messages, and at least this long.
+    /// Lower bound of the silence after which a host counts as terminated or partitioned and its reported use is
+    /// dropped. The limit is three periods of its full state messages if that is longer.
     static constexpr Duration min_silence_limit = 3s;
 
     using Use = EngineWork;
--- a/Libraries/LibServing/PlacementRate.h
+++ b/Libraries/LibServing/PlacementRate.h
@@ -22,7 +22,7 @@
         this->updated_at = now;
     }
 
-    /// Estimated number of placements that `hosts` hosts with the same rate have made within the last `age`.
+    /// Estimated number of placements within the last `age` by this number of hosts, each with this host's rate.
     [[nodiscard]] double estimate_unseen(Instant now, size_t hosts, Duration age) const
     {
         return this->current(now) * static_cast<double>(hosts) * AK::to_seconds(age);
--- a/Libraries/LibServing/Refusal.cpp
+++ b/Libraries/LibServing/Refusal.cpp
@@ -9,10 +9,10 @@
 
 namespace Serving {
 
-/// Avoidance after the first rejection; doubles with each further one. A backend server that is full only briefly has
+/// Avoidance after the first refusal; doubles with each further one. A backend server that is full only briefly has
 /// capacity again within the time of a few requests.
 static constexpr Duration first_avoidance = 250ms;
-/// A backend server that keeps rejecting is tried once per this time by one of all hosts. Each attempt costs its
+/// A backend server that keeps refusing is tried once per this time by one of all hosts. Each attempt costs its
 /// request a further dispatch, but a backend server that accepts work again has to wait for the next attempt.
 static constexpr Duration max_avoidance = 4s;
 
@@ -35,7 +35,7 @@
 void record_refusal(ServingContext& context, Backend& backend, std::string const& request, std::string_view reason)
 {
     auto& health = backend.health;
-    // If all backend servers are avoided, they are tried anyway. A rejection during the avoidance is then expected, and
+    // If all backend servers are avoided, they are tried anyway. A refusal during the avoidance is then expected, and
     // does not postpone the next attempt.
     if (context.now() < health.refusal_avoidance_until)
         return;
--- a/Libraries/LibServing/RequestTerminations.h
+++ b/Libraries/LibServing/RequestTerminations.h
@@ -27,7 +27,7 @@
 void put_request_termination(wire::HostUse&, ServingContext const&, RequestFingerprint const&);
 
 /// Adds the recently changed entries to a full state message, and a subset of the other quarantined requests that
-/// rotates with `round`. The latter reach hosts that have missed an announcement.
+/// rotates with `round`, for hosts that have missed an announcement.
 void put_recent_request_terminations(wire::HostUse&, ServingContext const&, u64 round);
 
 /// Adds all known entries, for a host that has just started.
--- a/Tests/LibServing/TestPeers.cpp
+++ b/Tests/LibServing/TestPeers.cpp
@@ -47,18 +47,18 @@
     WHEN("a prompt has been read")
     {
         own_engine->engine.own_unread_tokens = 0;
-        auto changes = own.delta(own_table);
-        REQUIRE(changes.has_value());
-        use.apply(host, *changes, other_table, now);
+        auto delta = own.delta(own_table);
+        REQUIRE(delta.has_value());
+        use.apply(host, *delta, other_table, now);
         CHECK(engine->engine.peer_unread_tokens == 0);
         CHECK(engine->engine.peer_generations == 2);
     }
     WHEN("a generation has to leave the engine and is not copied yet")
     {
         own_engine->engine.own_uncopied_tokens = 2500;
-        auto changes = own.delta(own_table);
-        REQUIRE(changes.has_value());
-        use.apply(host, *changes, other_table, now);
+        auto delta = own.delta(own_table);
+        REQUIRE(delta.has_value());
+        use.apply(host, *delta, other_table, now);
         THEN("the other hosts know that the engine's link is busy until the generation has been copied")
         {
             CHECK(engine->engine.uncopied_tokens() == 2500);
@@ -74,9 +74,9 @@
         own_engine->engine.own_uncopied_tokens = 2500;
         THEN("the tokens that are still to be copied are reported until the engine must have terminated")
         {
-            auto changes = own.delta(own_table);
-            REQUIRE(changes.has_value());
-            use.apply(host, *changes, other_table, now);
+            auto delta = own.delta(own_table);
+            REQUIRE(delta.has_value());
+            use.apply(host, *delta, other_table, now);
             CHECK(engine->engine.uncopied_tokens() == 2500);
             own_table.expire_removed(now + 1min);
             CHECK_FALSE(own.delta(own_table).has_value());
@@ -190,7 +190,7 @@
     Instant const now { 100s };
     auto address = [](int host) { return Address("10.0.0." + std::to_string(host) + ":1"); };
     int primary_readers = 0;
-    auto readers_among = [&](int count, bool with_other_domain, std::set<int> const& rejected = {}) {
+    auto readers_among = [&](int count, bool with_other_domain, std::set<int> const& without_platform = {}) {
         std::set<int> readers;
         primary_readers = 0;
         for (int own = 0; own < count; ++own) {
@@ -198,7 +198,7 @@
             for (int other = 0; other < count; ++other) {
                 if (other != own)
                     reachability.record_message(
-                        address(other), { FailureDomainId("hall-a"), 400ms, rejected.contains(other) }, now);
+                        address(other), { FailureDomainId("hall-a"), 400ms, without_platform.contains(other) }, now);
             }
             if (with_other_domain)
                 reachability.record_message(address(99), { FailureDomainId("hall-b"), 400ms }, now);
@@ -213,7 +213,7 @@
     CHECK(readers_among(3, false).size() == 2);
     CHECK(readers_among(26, true).size() == 2);
     THEN("exactly one of them forwards what it reads") { CHECK(primary_readers == 1); }
-    THEN("another host reads instead of one that the platform rejects")
+    THEN("another host reads instead of one to which the platform is unavailable")
     {
         auto before = readers_among(3, true);
         auto after = readers_among(3, true, before);
@@ -225,8 +225,8 @@
         reachability.record_message(address(1), { FailureDomainId("hall-b"), 400ms }, now);
         reachability.record_message(address(2), { FailureDomainId("hall-b"), 400ms }, now);
         reachability.record_message(address(3), { FailureDomainId("hall-c"), 400ms, true }, now);
-        // If the only reachable host of a domain is rejected by the platform, the update is sent to it nevertheless: it
-        // forwards the update within its domain.
+        // If the platform is unavailable to the only reachable host of a domain, the update is sent to that host
+        // nevertheless: it forwards the update within its domain.
         CHECK(reachability.remote_receivers(0, now) == std::vector { address(1), address(3) });
     }
 }
@@ -236,16 +236,16 @@
     Instant const now { 100s };
     constexpr int count = 59;
     auto address = [](int host) { return Address("10.0.0." + std::to_string(host) + ":1"); };
-    auto representatives_among = [&](std::set<int> const& silent, std::set<int> const& rejected) {
+    auto representatives_among = [&](std::set<int> const& silent, std::set<int> const& without_platform) {
         std::set<int> representatives;
         for (int own = 0; own < count; ++own) {
             Reachability reachability(FailureDomainId("hall-a"));
-            if (rejected.contains(own))
+            if (without_platform.contains(own))
                 reachability.set_platform_unavailable();
             for (int other = 0; other < count; ++other) {
                 if (other != own && !silent.contains(other))
                     reachability.record_message(
-                        address(other), { FailureDomainId("hall-a"), 400ms, rejected.contains(other) }, now);
+                        address(other), { FailureDomainId("hall-a"), 400ms, without_platform.contains(other) }, now);
             }
             if (!silent.contains(own) && reachability.is_representative(address(own), now))
                 representatives.insert(own);
@@ -261,14 +261,14 @@
         CHECK(after.size() == Reachability::representatives_per_domain);
         CHECK_FALSE(after.contains(*all.begin()));
     }
-    WHEN("the platform rejects both")
+    WHEN("the platform is unavailable to both")
     {
         auto after = representatives_among({}, all);
         CHECK(after.size() == Reachability::representatives_per_domain);
         CHECK_FALSE(after.contains(*all.begin()));
         CHECK_FALSE(after.contains(*all.rbegin()));
     }
-    WHEN("the platform rejects all hosts")
+    WHEN("the platform is unavailable to all hosts")
     {
         std::set<int> everyone;
         for (int host = 0; host < count; ++host)
@@ -285,12 +285,12 @@
     };
     std::vector<std::string> const domains { "hall-1", "hall-2", "hall-3" };
     constexpr int hosts = 5;
-    auto leaders = [&](std::string const& silent, std::string const& rejected) {
+    auto leaders = [&](std::string const& silent, std::string const& without_platform) {
         std::vector<std::string> found;
         for (auto const& domain : domains) {
             for (int own = 0; own < hosts; ++own) {
                 Reachability reachability { FailureDomainId(domain) };
-                if (domain == rejected)
+                if (domain == without_platform)
                     reachability.set_platform_unavailable();
                 for (auto const& other : domains) {
                     // Only two hosts of each other domain send messages.
@@ -298,8 +298,8 @@
                         bool const is_reachable
                             = (other != domain || host != own) && (other == domain || other != silent);
                         if (is_reachable)
-                            reachability.record_message(
-                                address(other, host), { FailureDomainId(other), 400ms, other == rejected }, now);
+                            reachability.record_message(address(other, host),
+                                { FailureDomainId(other), 400ms, other == without_platform }, now);
                     }
                 }
                 if (reachability.is_leading_reader(address(domain, own), now))
@@ -309,7 +309,10 @@
         return found;
     };
     CHECK(leaders("", "") == std::vector<std::string> { "hall-1" });
-    WHEN("the platform rejects that domain") { CHECK(leaders("", "hall-1") == std::vector<std::string> { "hall-2" }); }
+    WHEN("the platform is unavailable to that domain")
+    {
+        CHECK(leaders("", "hall-1") == std::vector<std::string> { "hall-2" });
+    }
     WHEN("that domain is partitioned from the others")
     {
         THEN("it reads for itself, and another domain reads for the rest")
--- a/Tests/LibServing/TestRefusal.cpp
+++ b/Tests/LibServing/TestRefusal.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Hosts that place generations on the same engines, some of which reject everything. Announcements between hosts take
-/// a few milliseconds. Engines that reject requests run nothing, so they look the least loaded.
+/// Hosts that place generations on the same engines, some of which refuse everything. Announcements between hosts take
+/// a few milliseconds. Engines that refuse requests run nothing, so they look the least loaded.
 class RefusingFleet {
 public:
     static constexpr int host_count = 12;
@@ -140,12 +140,12 @@
     fleet.run(5s, 0);
     CHECK(fleet.refused == 0);
 
-    WHEN("a third of the engines rejects everything")
+    WHEN("a third of the engines refuses everything")
     {
         fleet.run(20s, 6);
         THEN("few dispatches reach them, and few generations are lost to them")
         {
-            // Out of 400 generations. If rejections are not recorded, about 1,600 dispatches are rejected and all
+            // Out of 400 generations. If refusals are not recorded, about 1,600 dispatches are refused and all
             // generations are lost.
             INFO(fleet.refused);
             CHECK(fleet.refused < 80);
@@ -158,7 +158,7 @@
             THEN("each of them gets work") { CHECK(fleet.placed.size() == RefusingFleet::engine_count); }
         }
     }
-    WHEN("all of them reject")
+    WHEN("all of them refuse")
     {
         fleet.run(10s, RefusingFleet::engine_count);
         AND_WHEN("they accept work again")
@@ -188,7 +188,7 @@
     record_refusal(host, *engine, "g1", "status 503");
     CHECK(engine->is_avoided(now));
     CHECK(announced == 1);
-    THEN("another rejection in the meantime is not announced")
+    THEN("another refusal in the meantime is not announced")
     {
         record_refusal(host, *engine, "g2", "status 503");
         CHECK(announced == 1);
@@ -198,7 +198,7 @@
     {
         now += 250ms;
         CHECK_FALSE(engine->is_avoided(now));
-        AND_WHEN("it rejects again")
+        AND_WHEN("it refuses again")
         {
             record_refusal(host, *engine, "g2", "status 503");
             now += 499ms;
@@ -217,7 +217,7 @@
         record_success(*engine);
         CHECK_FALSE(engine->is_avoided(now));
     }
-    WHEN("it rejects for a long time")
+    WHEN("it refuses for a long time")
     {
         for (int i = 0; i < 20; ++i) {
             now = std::max(now, engine->health.refusal_avoidance_until);
--- a/Tests/LibServing/TestServerNotice.cpp
+++ b/Tests/LibServing/TestServerNotice.cpp
@@ -127,7 +127,7 @@
             host.receive("a", {});
             THEN("the back-off still applies") { back_off_holds(); }
         }
-        WHEN("the server has rejected requests of other hosts as well")
+        WHEN("the server has refused requests of other hosts as well")
         {
             wire::HostUse message;
             auto& refusing = *message.add_refusing();
