--- a/Libraries/LibServing/BackendList.cpp
+++ b/Libraries/LibServing/BackendList.cpp
@@ -82,7 +82,7 @@
         .with("state", "ended")
         .with("address", address)
         .with("start", start)
-        .with("reason", "another process answers at its address");
+        .with("reason", "another process responds at its address");
 }
 
 void BackendList::handle_leaving(EngineId const& id, ServerStart start, std::optional<Instant> ends_at)
--- a/Libraries/LibServing/EngineLoad.h
+++ b/Libraries/LibServing/EngineLoad.h
@@ -21,7 +21,7 @@
     bool is_leaving { false };
     /// The start of the reporting process.
     std::optional<ServerStart> start;
-    /// Time until the process terminates, if it knows.
+    /// Time until the process terminates; empty if the process does not know it.
     std::optional<Duration> ends_in;
 };
 
--- a/Libraries/LibServing/PeerLink.h
+++ b/Libraries/LibServing/PeerLink.h
@@ -17,10 +17,11 @@
 namespace Serving {
 
 /// The messages between the entry hosts. A host reads the addresses of the others from the platform's table at its
-/// start and announces itself to those of its failure domain. Hosts of one domain announce every placement to each
-/// other at once. Between domains, the representatives of a domain report what all of its hosts have running, and each
-/// receiver forwards the report within its own domain. The number of messages and connections of a host thus grows with
-/// the size of its domain and with the number of domains, not with the total number of hosts.
+/// start and announces itself to those of its failure domain, which add it to the hosts they know. Hosts of one domain
+/// announce every placement to each other at once. Between domains, the representatives of a domain report what all of
+/// its hosts have running, and each receiver forwards the report within its own domain. The number of messages and
+/// connections of a host thus grows with the size of its domain and with the number of domains, not with the total
+/// number of hosts.
 class PeerLink {
 public:
     struct Observer {
--- a/Libraries/LibServing/Quarantine.cpp
+++ b/Libraries/LibServing/Quarantine.cpp
@@ -111,7 +111,8 @@
         [&](auto const& item) { return item.second.held_until && item.second.terminated_under.contains(process); });
 }
 
-/// Attributes the terminations to the quarantined request, which clears the requests that ran beside it of them.
+/// Attributes the terminations to the quarantined request: the requests that ran beside it are no longer suspected of
+/// having caused them.
 void Quarantine::attribute_to(RequestFingerprint const& held)
 {
     auto const attributed = this->entries.at(held).terminated_under;
--- a/Libraries/LibServing/Reachability.h
+++ b/Libraries/LibServing/Reachability.h
@@ -50,8 +50,7 @@
     void record_message(Address const& host, HostStatus const& status, Instant now);
     /// Records any other message from a host.
     void record_message(Address const& host, Instant now);
-    /// Adds the other hosts of the platform's table, as read at `now`. A host that was not known counts as not yet
-    /// seen.
+    /// Adds the other hosts of the platform's table, as read at `now`. A newly added host counts as not yet seen.
     void update_known_hosts(std::span<KnownHost const>, Instant now);
     /// The status of this host. `period`: time until its next full state message.
     [[nodiscard]] HostStatus own_status(Duration period, Instant now) const;
--- a/Libraries/LibServing/RequestTerminations.cpp
+++ b/Libraries/LibServing/RequestTerminations.cpp
@@ -16,7 +16,9 @@
 /// Requests in the message to a host that has just started, 7 KB in total.
 static constexpr size_t max_requests_at_start = 64;
 
-static void apply(ServingContext& context, RequestFingerprint const& request, Quarantine::Change change)
+/// Updates the metrics after a change of the request's entry. If the request is quarantined from now on, logs an event
+/// and has the quarantine stored.
+static void handle_change(ServingContext& context, RequestFingerprint const& request, Quarantine::Change change)
 {
     context.metrics.set("requests_suspected", static_cast<double>(context.quarantine.all().size()));
     context.metrics.set("quarantine_dropped", static_cast<double>(context.quarantine.dropped()));
@@ -43,7 +45,7 @@
         = context.quarantine.record_termination(request, { backend.server.id, backend.server.start }, context.now());
     if (change == Quarantine::Change::Nothing)
         return;
-    apply(context, request, change);
+    handle_change(context, request, change);
     context.quarantine_changed(request);
 }
 
@@ -87,7 +89,7 @@
             continue;
         }
         auto const held_for = std::chrono::milliseconds(entry.held_milliseconds());
-        apply(context, request, context.quarantine.merge(request, processes_in(entry), held_for, now));
+        handle_change(context, request, context.quarantine.merge(request, processes_in(entry), held_for, now));
     }
     if (message.knows_quarantine())
         context.knows_quarantine = true;
