--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -39,11 +39,11 @@
         , reload(std::move(reload))
         , context(loop, this->settings, log)
         , request_handler(this->context)
-        , reporter(this->context)
+        , engine_poller(this->context)
         , peers(this->context, this->make_peer_observer())
         , backends(this->context,
               { [this](BackendPointer const& backend) { this->peers.backend_added(*backend); },
-                  [this](BackendPointer const& backend) { this->reporter.handle_engine_leaving(backend); } })
+                  [this](BackendPointer const& backend) { this->engine_poller.handle_engine_leaving(backend); } })
         , operator_table(this->context,
               { [this] { this->callers_context->limits = this->context.routing->limits(); },
                   [this](Platform::Row const& row, Error const& error) { this->reject_row(row, error); } })
@@ -91,7 +91,7 @@
         this->backend_follower.set_following(Platform::Following::None);
         this->configuration_follower.start();
         this->backend_follower.start();
-        this->reporter.start();
+        this->engine_poller.start();
         this->context.backend_terminated = [this](Backend const& backend) {
             auto const server = backend.server;
             if (backend.has_terminated)
@@ -431,7 +431,7 @@
     Reload reload;
     ServingContext context;
     RequestHandler<typename P::Dialect> request_handler;
-    EnginePoller<typename P::Dialect> reporter;
+    EnginePoller<typename P::Dialect> engine_poller;
     PeerLink peers;
     BackendList backends;
     OperatorTable<P> operator_table;
