--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -59,7 +59,7 @@
               this->make_configuration_observer(), this->settings.follower)
         , backend_follower(loop, this->backend_store, std::string(P::backend_table), this->make_backend_observer(),
               this->settings.follower)
-        , news(this->context, this->peers, this->backends,
+        , table_updates(this->context, this->peers, this->backends,
               { { std::string(P::configuration_table), &this->configuration_follower },
                   { std::string(P::backend_table), &this->backend_follower } })
         , signals(loop, SIGTERM, SIGINT, SIGHUP)
@@ -194,8 +194,9 @@
         observer.changed
             = [this](std::vector<Platform::RowChange> const& changes, u64) { this->operator_table.changed(changes); };
         observer.fetched
-            = [this](Platform::TableUpdate const& news) { this->news.announce(P::configuration_table, news); };
-        observer.missed = [this](u64 version) { this->news.fetch_from_peers(P::configuration_table, version); };
+            = [this](Platform::TableUpdate const& news) { this->table_updates.announce(P::configuration_table, news); };
+        observer.missed
+            = [this](u64 version) { this->table_updates.fetch_from_peers(P::configuration_table, version); };
         return observer;
     }
 
@@ -216,8 +217,9 @@
             for (auto const& change : changes)
                 this->apply_backend(change);
         };
-        observer.fetched = [this](Platform::TableUpdate const& news) { this->news.announce(P::backend_table, news); };
-        observer.missed = [this](u64 version) { this->news.fetch_from_peers(P::backend_table, version); };
+        observer.fetched
+            = [this](Platform::TableUpdate const& news) { this->table_updates.announce(P::backend_table, news); };
+        observer.missed = [this](u64 version) { this->table_updates.fetch_from_peers(P::backend_table, version); };
         observer.may_retry = [this] { return this->configuration_follower.is_reachable(); };
         return observer;
     }
@@ -234,14 +236,14 @@
             this->backends.handle_termination(id, start, address);
         };
         observer.update_received = [this](wire::PlatformNews const& news, bool is_local_sender) {
-            this->news.handle_update(news, is_local_sender);
+            this->table_updates.handle_update(news, is_local_sender);
         };
         observer.progress_received = [this](std::string const& table, u64 last_change, Address const& host) {
-            this->news.handle_progress(table, last_change, host);
+            this->table_updates.handle_progress(table, last_change, host);
         };
         observer.updates_since
-            = [this](std::string const& table, u64 version) { return this->news.since(table, version); };
-        observer.own_progress = [this] { return this->news.own_progress(); };
+            = [this](std::string const& table, u64 version) { return this->table_updates.since(table, version); };
+        observer.own_progress = [this] { return this->table_updates.own_progress(); };
         return observer;
     }
 
@@ -443,7 +445,7 @@
     typename P::Store backend_store;
     Platform::ChangeFollower<typename P::Store> configuration_follower;
     Platform::ChangeFollower<typename P::Store> backend_follower;
-    TableUpdateExchange<typename P::Store> news;
+    TableUpdateExchange<typename P::Store> table_updates;
     std::shared_ptr<Http::CallerContext> callers_context;
     std::optional<Http::CallerServer> callers;
     std::optional<Http::CallerServer> readiness;
