--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -346,7 +346,7 @@
         this->silent_domains = std::move(silent);
     }
 
-    void update_reach()
+    void update_unreachable_services()
     {
         auto now = this->context.now();
         this->log_silent_domains(this->context.reachability.silent_domains(now));
@@ -365,7 +365,7 @@
     void tick()
     {
         this->backends.tick();
-        this->update_reach();
+        this->update_unreachable_services();
         this->update_following();
         this->update_allowance_share();
         this->quarantine_table.tick();
