--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -46,7 +46,7 @@
         this->accepted_count = 0;
     }
 
-    void wait_for_taken(size_t count)
+    void wait_for_accepted(size_t count)
     {
         ::Test::run_until(this->loop, [this, count] { return this->accepted_count == count; });
     }
@@ -82,7 +82,7 @@
         auto& caller = this->callers.emplace_back(this->loop, this->endpoint);
         caller.send(PersistentCaller::get_request);
         auto before = this->accepted_count;
-        this->wait_for_taken(before + 1);
+        this->wait_for_accepted(before + 1);
         this->respond_to_all();
         ::Test::run_until(this->loop, [&] { return caller.responses() == 1; });
         this->settle();
--- a/Tests/LibHttp/TestCallerConnection.cpp
+++ b/Tests/LibHttp/TestCallerConnection.cpp
@@ -87,7 +87,7 @@
         // The shorter timeout applies from this caller's next wait on. The other callers still have the longer one.
         fixture.context->limits.idle_timeout = short_idle_timeout;
         caller.send(PersistentCaller::get_request);
-        fixture.wait_for_taken(1);
+        fixture.wait_for_accepted(1);
         fixture.respond_to_all();
         ::Test::run_until(fixture.loop, [&] { return caller.is_closed(); });
         CHECK(was_closed_for(Http::CloseReason::Idle));
@@ -154,7 +154,7 @@
     fixture.connect_callers();
     auto& caller = fixture.callers.front();
     caller.send(PersistentCaller::post_request);
-    fixture.wait_for_taken(1);
+    fixture.wait_for_accepted(1);
     bool is_notified = false;
     auto exchange = fixture.waiting.front();
     exchange->on_caller_disconnected([&] { is_notified = true; });
--- a/Tests/LibHttp/TestCallerEventOrder.cpp
+++ b/Tests/LibHttp/TestCallerEventOrder.cpp
@@ -55,7 +55,7 @@
     {
         bool is_notified = false;
         caller.send(PersistentCaller::get_request);
-        fixture.wait_for_taken(2);
+        fixture.wait_for_accepted(2);
         fixture.waiting.front()->on_caller_disconnected([&] { is_notified = true; });
         caller.send(PersistentCaller::get_request);
         fixture.settle();
@@ -74,7 +74,7 @@
     {
         auto& caller = fixture.connect_caller();
         caller.send(PersistentCaller::get_request);
-        fixture.wait_for_taken(2);
+        fixture.wait_for_accepted(2);
         LoopHook hook(fixture.loop, [&] { fixture.respond_to_all(); });
         hook.trigger();
         fixture.callers.clear();
@@ -87,7 +87,7 @@
         fixture.context->limits.header_timeout = short_idle_timeout;
         PersistentCaller caller(fixture.loop, fixture.endpoint);
         caller.send(PersistentCaller::get_request);
-        fixture.wait_for_taken(1);
+        fixture.wait_for_accepted(1);
         auto exchange = fixture.waiting.front();
         fixture.waiting.clear();
         LoopHook hook(fixture.loop, [&] { exchange->abort(); });
