--- a/Tests/Platform/TestEndToEnd.cpp
+++ b/Tests/Platform/TestEndToEnd.cpp
@@ -78,9 +78,9 @@
         fixture.until([&] { return call->is_over(); });
         THEN("the request ends only once")
         {
-            bool const is_answered = call->status == 500;
-            CHECK(fixture.log_has("E2402 service_call_ended subject=a1") == is_answered);
-            CHECK(fixture.log_has("E2002 request_refused subject=a1") != is_answered);
+            bool const is_relayed = call->status == 500;
+            CHECK(fixture.log_has("E2402 service_call_ended subject=a1") == is_relayed);
+            CHECK(fixture.log_has("E2002 request_refused subject=a1") != is_relayed);
         }
     }
     WHEN("the caller sends headers that only the system may set")
--- a/Tests/Platform/TestRows.cpp
+++ b/Tests/Platform/TestRows.cpp
@@ -130,7 +130,7 @@
 
 SCENARIO("whatever bytes an entry holds, it is read within bounds or names no server")
 {
-    rc::prop("damaged entries", [](std::vector<std::pair<u32, u8>> const& changes) {
+    rc::prop("corrupted entries", [](std::vector<std::pair<u32, u8>> const& changes) {
         RC_ASSERT(is_rejected_or_in_bounds(decode(corrupted(Json::serialize(valid_entry()), changes))));
     });
     rc::prop("any number in any field", [](double number) {
@@ -155,14 +155,14 @@
         { "limits", Json::object { { "max_header_bytes", 4096 }, { "idle_timeout_ms", 15000 } } },
         { "tenants", Json::array { Json::object { { "name", "plaza" }, { "api_keys", Json::array { "k" } } } } } };
     REQUIRE(Adapter::decode_configuration({ "config", Json::serialize(configuration), 7 }));
-    rc::prop("damaged configurations", [&](std::vector<std::pair<u32, u8>> const& changes) {
+    rc::prop("corrupted configurations", [&](std::vector<std::pair<u32, u8>> const& changes) {
         auto read = Adapter::decode_configuration({ "config", corrupted(Json::serialize(configuration), changes), 7 });
         RC_ASSERT(is_rejected_or_in_bounds(read));
     });
     Json::object const report { { "stage", "both" }, { "waiting", 1 }, { "running", 12 }, { "kv_used", 41000 },
         { "kv_total", 90000 }, { "state", "draining" }, { "leaves_ms", 1500 }, { "born", 17 } };
     REQUIRE(Adapter::Dialect::decode_engine_report(Json::serialize(report)).value().start == ServerStart(17));
-    rc::prop("damaged reports", [&](std::vector<std::pair<u32, u8>> const& changes) {
+    rc::prop("corrupted reports", [&](std::vector<std::pair<u32, u8>> const& changes) {
         auto read = Adapter::Dialect::decode_engine_report(corrupted(Json::serialize(report), changes));
         bool const is_rejected_or_in_bounds = !read || read.value().used >= TokenCount(0);
         RC_ASSERT(is_rejected_or_in_bounds);
@@ -281,11 +281,12 @@
 namespace {
 
 /// Formats all values that are decoded from a response head.
-std::string described(Serving::BackendResponseHead const& answer)
+std::string described(Serving::BackendResponseHead const& response)
 {
     std::ostringstream text;
-    text << answer.attempt << ' ' << answer.is_not_run << answer.is_misdirected << answer.is_signed << answer.is_leaving
-         << ' ' << answer.load.has_value() << answer.limit.has_value() << answer.back_off_for.has_value();
+    text << response.attempt << ' ' << response.is_not_run << response.is_misdirected << response.is_signed
+         << response.is_leaving << ' ' << response.load.has_value() << response.limit.has_value()
+         << response.back_off_for.has_value();
     return text.str();
 }
 
