--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -12,9 +12,9 @@
 
 namespace Http {
 
-/// A persistent connection is reused for at most this long after its last response, or less if the peer advertises a
-/// shorter time. Backend servers close idle connections after a few seconds. A request sent while the peer closes the
-/// connection may or may not have run.
+/// A persistent connection is reused for at most this long after the head of its last response, or less if the peer
+/// advertises a shorter time. Backend servers close idle connections after a few seconds. A request sent while the peer
+/// closes the connection may or may not have run.
 static constexpr Duration default_idle_limit = 1500ms;
 /// Subtracted from the peer's Keep-Alive timeout, which is in whole seconds, to allow for network delay and rounding.
 static constexpr Duration idle_limit_margin = 500ms;
--- a/Libraries/LibServing/Dialect.h
+++ b/Libraries/LibServing/Dialect.h
@@ -19,7 +19,7 @@
     TokenCount prompt;
     /// Upper bound of the output.
     TokenCount max_output;
-    /// The caller's estimate of the output. Its median is accurate, but single estimates are often far off.
+    /// The caller's estimate of the output. Estimates are accurate in the median, but single ones are often far off.
     std::optional<TokenCount> estimated_output;
 };
 
@@ -62,7 +62,7 @@
     std::optional<LoadReport> load;
     /// Rate at which it accepts requests from all hosts together; empty if it reports no limit.
     std::optional<RequestRate> limit;
-    /// Time for which it requests this host to send nothing; empty if it requests no backoff.
+    /// Backoff that it requests from this host; empty if it requests none.
     std::optional<Duration> back_off_for;
     /// Its process accepts no new work and will terminate.
     bool is_leaving { false };
--- a/Libraries/LibServing/ErrorResponse.h
+++ b/Libraries/LibServing/ErrorResponse.h
@@ -24,7 +24,8 @@
 /// Returns the HTTP status of an error. 503 and 429 are used only if the request has not run.
 Http::Status status_for(Error const&, RequestOutcome);
 
-/// Builds an error response of this host. Its body has the kind of the error and a message; Retry-After is in seconds.
+/// Builds an error response of this host. Its body has the kind of the error and a message that names the
+/// remedy. Retry-After is in seconds.
 Http::Response error_response(Error const&, RequestOutcome);
 
 }
--- a/Libraries/LibServing/GenerationMove.h
+++ b/Libraries/LibServing/GenerationMove.h
@@ -22,7 +22,7 @@
         Copying,
         /// The first copy is done; the run continues.
         Copied,
-        /// The source has been requested to stop the run and make the second copy.
+        /// The second copy has been requested, for which the source stops the run.
         HandingOver,
         /// The run has stopped and can resume from the copy at the target.
         HandedOver,
@@ -257,9 +257,10 @@
         });
     }
 
-    /// Begins the handover if it is due and the links are free. While other generations are being copied, a second copy
-    /// would stop the run for as long as it waits for the link. Without a second copy, the run continues until its
-    /// engine terminates, and the target reads again the few tokens that the first copy lacks.
+    /// Begins the handover if it is due and the links are free, or if the source is overdue. While other generations
+    /// are being copied, a second copy would stop the run for as long as it waits for the link. Without a second copy,
+    /// the run continues until its engine terminates, and the target reads again the few tokens that the first copy
+    /// lacks.
     void consider_handover()
     {
         if (this->chosen->is_evacuated)
--- a/Libraries/LibServing/Host.h
+++ b/Libraries/LibServing/Host.h
@@ -146,7 +146,8 @@
 
     [[nodiscard]] bool is_ready() const
     {
-        return !this->context.leaving && this->context.routing && this->backends_known && this->out_of_reach.empty();
+        return !this->context.leaving && this->context.routing && this->backends_known
+            && this->unreachable_services.empty();
     }
 
     Http::Response readiness_response()
@@ -193,8 +194,9 @@
         };
         observer.changed
             = [this](std::vector<Platform::RowChange> const& changes, u64) { this->operator_table.changed(changes); };
-        observer.fetched
-            = [this](Platform::TableUpdate const& news) { this->table_updates.announce(P::configuration_table, news); };
+        observer.fetched = [this](Platform::TableUpdate const& update) {
+            this->table_updates.announce(P::configuration_table, update);
+        };
         observer.missed
             = [this](u64 version) { this->table_updates.fetch_from_peers(P::configuration_table, version); };
         return observer;
@@ -218,7 +220,7 @@
                 this->apply_backend(change);
         };
         observer.fetched
-            = [this](Platform::TableUpdate const& news) { this->table_updates.announce(P::backend_table, news); };
+            = [this](Platform::TableUpdate const& update) { this->table_updates.announce(P::backend_table, update); };
         observer.missed = [this](u64 version) { this->table_updates.fetch_from_peers(P::backend_table, version); };
         observer.may_retry = [this] { return this->configuration_follower.is_reachable(); };
         return observer;
@@ -235,8 +237,8 @@
         observer.backend_terminated = [this](EngineId const& id, ServerStart start, Address const& address) {
             this->backends.handle_termination(id, start, address);
         };
-        observer.update_received = [this](wire::PlatformNews const& news, bool is_local_sender) {
-            this->table_updates.handle_update(news, is_local_sender);
+        observer.update_received = [this](wire::PlatformNews const& update, bool is_local_sender) {
+            this->table_updates.handle_update(update, is_local_sender);
         };
         observer.progress_received = [this](std::string const& table, u64 last_change, Address const& host) {
             this->table_updates.handle_progress(table, last_change, host);
@@ -353,13 +355,14 @@
         if (!this->context.routing)
             return;
         auto unreachable
-            = unreachable_services(this->context.backends, *this->context.routing, this->silent_domains, now);
-        if (unreachable == this->out_of_reach)
+            = Serving::unreachable_services(this->context.backends, *this->context.routing, this->silent_domains, now);
+        if (unreachable == this->unreachable_services)
             return;
-        this->out_of_reach = std::move(unreachable);
+        this->unreachable_services = std::move(unreachable);
         this->log.event(Core::EventNumber::ServicesUnreachable, this->settings.host.value())
-            .with("services", this->out_of_reach.size())
-            .with("first", this->out_of_reach.empty() ? ServiceName("none") : this->out_of_reach.front());
+            .with("services", this->unreachable_services.size())
+            .with(
+                "first", this->unreachable_services.empty() ? ServiceName("none") : this->unreachable_services.front());
     }
 
     void tick()
@@ -458,7 +461,7 @@
     bool backends_known { false };
     /// An invalid entry is reported again with each heartbeat of its writer.
     LogRateLimiter rejected_rows { 1min };
-    std::vector<ServiceName> out_of_reach;
+    std::vector<ServiceName> unreachable_services;
     std::vector<FailureDomainId> silent_domains;
     bool has_logged_ready { false };
 };
--- a/Libraries/LibServing/HostSettings.h
+++ b/Libraries/LibServing/HostSettings.h
@@ -32,7 +32,7 @@
     /// Maximum backoff that a backend server can request from this host.
     Duration max_back_off { 1h };
     RetryBudget::Limits retry_budget {};
-    /// Reclaimed engines leave in groups. The pause after changes collects their changes into one call and is a
+    /// Reclaimed engines leave in groups. With `delay_after_changes`, one call returns all their changes; it is a
     /// thirtieth of the shortest notice. Updates reach all 59 hosts of a failure domain within about 10 ms, so an
     /// update that has not arrived after `peer_update_timeout` is lost.
     Platform::FollowerTiming follower { .delay_after_changes = 50ms, .peer_update_timeout = 400ms };
--- a/Libraries/LibServing/RequestFlow.h
+++ b/Libraries/LibServing/RequestFlow.h
@@ -139,7 +139,8 @@
         return true;
     }
 
-    /// Status of the current response. This and the functions below require that its head has been received.
+    /// Status of the current response. This function, is_success(), is_reported_not_run(), is_server_error() and
+    /// make_relayed_response() require that the response head has been received.
     [[nodiscard]] unsigned response_status() const { return this->response_head->result_int(); }
     [[nodiscard]] bool is_success() const
     {
@@ -147,7 +148,7 @@
     }
     /// To be called with each dispatch. `on_terminated` is called when the process that runs the dispatch is known to
     /// have terminated. A dispatch without a response that was sent less than `max_refusal_delay` ago may have reached
-    /// the replacement process, which then refuses it as misdirected.
+    /// the replacement process, which then refuses it as misdirected; `on_terminated` is not called for it.
     void watch_termination(Backend& backend, std::function<void()> on_terminated)
     {
         this->termination_watch = backend.observe_termination(
--- a/Libraries/LibServing/ServiceCall.h
+++ b/Libraries/LibServing/ServiceCall.h
@@ -169,7 +169,8 @@
     [[nodiscard]] u32 runs() const { return this->dispatches - this->dispatches_not_run; }
 
     /// Dispatches the call again if that is allowed, after a dispatch without a usable response. `is_unreachable` is
-    /// set if its connection could not be made; the next dispatch then takes nothing from the retry budget.
+    /// set if its connection could not be made; the next dispatch then takes nothing from the retry budget, since the
+    /// service received nothing.
     void try_again(std::string const& reason, bool is_unreachable)
     {
         bool const last_was_not_run = is_unreachable || (this->response_head && this->is_reported_not_run());
--- a/Libraries/LibServing/ServingContext.h
+++ b/Libraries/LibServing/ServingContext.h
@@ -50,7 +50,7 @@
     Quarantine quarantine;
     /// Whether this host has read the quarantine entries from before its start.
     bool knows_quarantine { false };
-    /// Age that estimates of remote failure domains may have while their hosts are reachable.
+    /// Maximum age of the estimates of remote failure domains while their hosts are reachable.
     Duration remote_estimate_age { 0 };
     boost::random::mt19937 random;
     /// Null until a configuration is known.
@@ -69,7 +69,8 @@
 
     /// To be called when a backend server has reported a different limit, or no longer reports one.
     std::function<void(Backend const&)> limit_changed { [](Backend const&) {} };
-    /// To be called when this host has new information on a request that terminates servers.
+    /// To be called when this host has recorded a termination of a server that ran the request, or a completed run
+    /// after such terminations.
     std::function<void(RequestFingerprint const&)> quarantine_changed { [](RequestFingerprint const&) {} };
     /// To be called when a request becomes quarantined, by this host or another one, or is released.
     std::function<void(RequestFingerprint const&, bool is_held)> hold_changed { [](RequestFingerprint const&, bool) {
