--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -94,7 +94,7 @@
     tcp::socket socket;
     AK::Timer timer;
     std::shared_ptr<CallerContext> context;
-    /// The idle timeout behind the Keep-Alive field of the last response.
+    /// The idle timeout at the last response, whose Keep-Alive field advertises a shorter time.
     Duration advertised_idle_timeout;
     beast::flat_buffer buffer;
     std::optional<Parser> parser;
