--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -430,7 +430,7 @@
     if (this->leaving_servers.contains(id) || this->configuration().is_draining(id))
         return true;
     auto found = std::ranges::find(this->servers, id, &Platform::BackendServerRecord::id);
-    return found != this->servers.end() && found->state == Platform::HostState::Leaving;
+    return found != this->servers.end() && found->state == Platform::BackendServerState::Leaving;
 }
 
 void Node::backend_server_is_leaving(EngineId const& id)
--- a/Libraries/LibPlatform/PlatformJson.cpp
+++ b/Libraries/LibPlatform/PlatformJson.cpp
@@ -131,8 +131,8 @@
             record.model = ModelId(host->optValue<std::string>("model", ""));
             record.service = ServiceName(host->optValue<std::string>("service", ""));
             record.capacity = TokenCount(host->optValue<Poco::Int64>("capacity_tokens", 0));
-            record.state
-                = host->optValue<std::string>("state", "live") == "leaving" ? HostState::Leaving : HostState::Live;
+            record.state = host->optValue<std::string>("state", "live") == "leaving" ? BackendServerState::Leaving
+                                                                                     : BackendServerState::Live;
             record.checks_epochs = host->optValue<bool>("checks_epochs", true);
             records.push_back(std::move(record));
         }
@@ -151,7 +151,7 @@
         object.set("model", record.model.value());
         object.set("service", record.service.value());
         object.set("capacity_tokens", static_cast<Poco::Int64>(record.capacity.value()));
-        object.set("state", record.state == HostState::Leaving ? "leaving" : "live");
+        object.set("state", record.state == BackendServerState::Leaving ? "leaving" : "live");
         object.set("checks_epochs", record.checks_epochs);
         array.add(object);
     }
--- a/Libraries/LibPlatform/TableStore.h
+++ b/Libraries/LibPlatform/TableStore.h
@@ -74,7 +74,7 @@
         } -> std::same_as<Result<std::string>>;
 };
 
-enum class HostState : u8 {
+enum class BackendServerState : u8 {
     Live,
     Leaving,
 };
@@ -89,7 +89,7 @@
     /// The plain service to which the server belongs; empty for an engine.
     ServiceName service;
     TokenCount capacity;
-    HostState state { HostState::Live };
+    BackendServerState state { BackendServerState::Live };
     /// Whether the server rejects orders with an epoch older than one that it has seen.
     bool checks_epochs { true };
 
--- a/Tests/LibPlatform/TestPlatformJson.cpp
+++ b/Tests/LibPlatform/TestPlatformJson.cpp
@@ -18,7 +18,7 @@
     CHECK_FALSE(read.value().writes[1].value);
 
     Platform::BackendServerRecord record { EngineId("e"), Address("127.0.0.1:1"), FailureDomainId("hall-a"),
-        ModelId("m"), ServiceName(""), TokenCount(24000), Platform::HostState::Leaving, false };
+        ModelId("m"), ServiceName(""), TokenCount(24000), Platform::BackendServerState::Leaving, false };
     CHECK(Platform::parse_backend_servers(Platform::format_backend_servers({ record })).value().front() == record);
 }
 
--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -268,11 +268,11 @@
     for (size_t i = 0; i < this->engines.size(); ++i)
         hosts.push_back({ EngineId("engine-" + std::to_string(i)), this->engines[i]->address(),
             FailureDomainId(failure_domain), ModelId("writer"), ServiceName(), TokenCount(this->size.engine_capacity),
-            Platform::HostState::Live, true });
+            Platform::BackendServerState::Live, true });
     for (size_t i = 0; i < this->services.size(); ++i)
         hosts.push_back(
             { EngineId("service-" + std::to_string(i)), this->services[i]->address(), FailureDomainId(failure_domain),
-                ModelId(), ServiceName("till"), TokenCount(0), Platform::HostState::Live, true });
+                ModelId(), ServiceName("till"), TokenCount(0), Platform::BackendServerState::Live, true });
     this->platform->set_hosts(Platform::format_backend_servers(hosts));
 }
 
