--- a/Libraries/LibPlatform/FaultyTable.h
+++ b/Libraries/LibPlatform/FaultyTable.h
@@ -18,7 +18,7 @@
     /// The call fails without any effect.
     Unavailable,
     /// The commit takes effect, but its response is lost.
-    LoseAnswer,
+    LoseResponse,
     /// The commit's request is lost: it has no effect, and the caller cannot distinguish this from a lost response.
     LoseRequest,
 };
@@ -56,7 +56,7 @@
             return platform_unavailable("scripted");
         case Fault::LoseRequest:
             return platform_answer_lost("scripted");
-        case Fault::LoseAnswer: {
+        case Fault::LoseResponse: {
             auto ignored = this->table.commit(transaction);
             VERIFY(ignored.has_value());
             return platform_answer_lost("scripted");
--- a/Tests/LibConfiguration/TestConfigurationLog.cpp
+++ b/Tests/LibConfiguration/TestConfigurationLog.cpp
@@ -61,7 +61,7 @@
     WHEN("the response to the next write is lost after the write was done")
     {
         // The calls before the commit read the head, the row of the change, and the log up to its end.
-        vesela.view.script({ Fault::None, Fault::None, Fault::None, Fault::None, Fault::LoseAnswer });
+        vesela.view.script({ Fault::None, Fault::None, Fault::None, Fault::None, Fault::LoseResponse });
         auto second = vesela.append("c2", put_model("reader"));
         THEN("the append finds the accepted change, and there is one entry")
         {
@@ -79,7 +79,7 @@
     }
     WHEN("the platform stays unavailable after a lost response")
     {
-        vesela.view.script({ Fault::None, Fault::None, Fault::None, Fault::None, Fault::LoseAnswer });
+        vesela.view.script({ Fault::None, Fault::None, Fault::None, Fault::None, Fault::LoseResponse });
         vesela.view.set_standing_fault(Fault::Unavailable);
         auto second = vesela.append("c2", put_model("reader"));
         THEN("the change is not reported as rejected") { CHECK(second.error().kind == ErrorKind::PlatformAnswerLost); }
@@ -171,7 +171,7 @@
             std::deque<Fault> faults;
             for (int call = 0; call < 8; ++call)
                 faults.push_back(*rc::gen::weightedElement<Fault>({ { 6, Fault::None }, { 1, Fault::Unavailable },
-                    { 2, Fault::LoseAnswer }, { 1, Fault::LoseRequest } }));
+                    { 2, Fault::LoseResponse }, { 1, Fault::LoseRequest } }));
             writer.view.script(faults);
             auto result = writer.append(id, put_model("m-" + id));
             writer.view.script({});
--- a/Tests/LibPlatform/TestClaimBatch.cpp
+++ b/Tests/LibPlatform/TestClaimBatch.cpp
@@ -55,12 +55,12 @@
     }
     WHEN("the table's response is lost after the write")
     {
-        view.script({ Fault::None, Fault::LoseAnswer });
+        view.script({ Fault::None, Fault::LoseResponse });
         CHECK(batch.make({ claim("d", "n9") }).front() == ClaimVerdict::Granted);
     }
     WHEN("it is unknown whether the write took effect")
     {
-        view.script({ Fault::None, Fault::LoseAnswer });
+        view.script({ Fault::None, Fault::LoseResponse });
         view.set_standing_fault(Fault::Unavailable);
         CHECK(batch.make({ claim("d", "n9") }).front() == ClaimVerdict::Unknown);
     }
@@ -97,7 +97,7 @@
             std::deque<Fault> faults;
             for (int call = 0; call < 10; ++call)
                 faults.push_back(*rc::gen::weightedElement<Fault>({ { 6, Fault::None }, { 1, Fault::Unavailable },
-                    { 2, Fault::LoseAnswer }, { 1, Fault::LoseRequest } }));
+                    { 2, Fault::LoseResponse }, { 1, Fault::LoseRequest } }));
             view.script(faults);
             std::vector<Claim> claims;
             auto count = *rc::gen::inRange(1, 6);
--- a/Tests/LibPlatform/TestLease.cpp
+++ b/Tests/LibPlatform/TestLease.cpp
@@ -56,7 +56,7 @@
     WHEN("the response to a renewal is lost")
     {
         clock.advance(term / 3);
-        view.script({ Fault::None, Fault::LoseAnswer });
+        view.script({ Fault::None, Fault::LoseResponse });
         Platform::keep_lease(first, view, now);
         THEN("reading the row back resolves it")
         {
@@ -93,7 +93,7 @@
             std::deque<Fault> faults;
             for (int call = 0; call < 3; ++call)
                 faults.push_back(*rc::gen::weightedElement<Fault>({ { 5, Fault::None }, { 1, Fault::Unavailable },
-                    { 2, Fault::LoseAnswer }, { 1, Fault::LoseRequest } }));
+                    { 2, Fault::LoseResponse }, { 1, Fault::LoseRequest } }));
             views[who].script(faults);
             auto pause = *rc::gen::inRange(0, 4);
             // Time passes whenever the lease reads its clock.
