--- a/Libraries/LibCore/BackgroundCaller.h
+++ b/Libraries/LibCore/BackgroundCaller.h
@@ -36,7 +36,7 @@
         });
     }
 
-    /// Number of queued calls. Callers that submit periodically skip a period while calls are queued.
+    /// Number of calls that wait for a thread. Callers that submit periodically can skip a period while it grows.
     [[nodiscard]] size_t waiting_count();
 
 private:
--- a/Libraries/LibCore/EventLoop.h
+++ b/Libraries/LibCore/EventLoop.h
@@ -39,7 +39,7 @@
 
     /// Runs the loop until stop().
     void run();
-    /// Makes run() return after the current callback. May be called from any thread.
+    /// Makes run() return after the current iteration of the loop. May be called from any thread.
     void stop();
 
 private:
--- a/Libraries/LibCore/Settings.cpp
+++ b/Libraries/LibCore/Settings.cpp
@@ -24,7 +24,8 @@
         return Error { ErrorKind::InvalidSettings, path + ": cannot be read; name a readable file with --settings" };
     } catch (YAML::Exception const& exception) {
         return Error { ErrorKind::InvalidSettings,
-            path + ':' + std::to_string(exception.mark.line + 1) + ": not YAML: " + exception.msg + "; mend the line" };
+            path + ':' + std::to_string(exception.mark.line + 1) + ": not YAML: " + exception.msg
+                + "; correct the line" };
     }
 }
 
@@ -34,7 +35,8 @@
         return SettingsReader(name, YAML::Load(text));
     } catch (YAML::Exception const& exception) {
         return Error { ErrorKind::InvalidSettings,
-            name + ':' + std::to_string(exception.mark.line + 1) + ": not YAML: " + exception.msg + "; mend the line" };
+            name + ':' + std::to_string(exception.mark.line + 1) + ": not YAML: " + exception.msg
+                + "; correct the line" };
     }
 }
 
@@ -205,7 +207,7 @@
         return std::nullopt;
     auto number = parse_whole_number(text.substr(0, unit_start));
     auto unit = text.substr(unit_start);
-    // A year in milliseconds. Longer durations would overflow, and stem from a wrong unit.
+    // A year in milliseconds. A longer duration stems from a wrong unit, and a much longer one would overflow.
     constexpr i64 max_number = 31'536'000'000;
     if (!number || *number > max_number)
         return std::nullopt;
--- a/Libraries/LibCore/StructuredLog.h
+++ b/Libraries/LibCore/StructuredLog.h
@@ -17,8 +17,8 @@
 namespace Core {
 
 /// Writes one line of key=value pairs per event, for the analysis of failures. The rate of lines is limited, and a
-/// stalled reader causes dropped lines instead of delays; the log itself reports the number of dropped lines. Loop
-/// thread only.
+/// stalled reader causes dropped lines instead of delays; the log itself reports the number of dropped lines. Only for
+/// the event loop thread.
 class StructuredLog {
 public:
     /// Writes as many bytes as it can without blocking and returns their number, like write(2).
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -46,27 +46,27 @@
 void MemberTable::receive_full(wire::MemberState const& state, Instant now, std::vector<MemberEvent>& events)
 {
     MemberId id(state.id());
-    std::pair update { Incarnation(state.incarnation()), state.heartbeat() };
+    std::pair received { Incarnation(state.incarnation()), state.heartbeat() };
     if (id == this->self.id) {
         // A peer knows a later incarnation of this member, so the host's clock went back. Exceed that incarnation.
-        if (update.first > this->self.incarnation)
-            this->self.incarnation = Incarnation(update.first.value() + 1);
+        if (received.first > this->self.incarnation)
+            this->self.incarnation = Incarnation(received.first.value() + 1);
         return;
     }
     auto lost_entry = this->lost.find(id);
-    if (lost_entry != this->lost.end() && update <= lost_entry->second)
+    if (lost_entry != this->lost.end() && received <= lost_entry->second)
         return;
     auto [row, is_new] = this->rows.try_emplace(id);
     auto& member = row->second;
-    if (!is_new && update <= std::pair(member.incarnation, member.heartbeat))
+    if (!is_new && received <= std::pair(member.incarnation, member.heartbeat))
         return;
     if (is_new)
-        events.push_back({ id, MemberChange::Joined, update.first });
-    else if (update.first > member.incarnation)
-        events.push_back({ id, MemberChange::Replaced, update.first });
+        events.push_back({ id, MemberChange::Joined, received.first });
+    else if (received.first > member.incarnation)
+        events.push_back({ id, MemberChange::Replaced, received.first });
     if (state.leaving() && !member.leaving)
-        events.push_back({ id, MemberChange::Leaving, update.first });
-    member = { id, state.role(), Address(state.address()), update.first, update.second, state.leaving(),
+        events.push_back({ id, MemberChange::Leaving, received.first });
+    member = { id, state.role(), Address(state.address()), received.first, received.second, state.leaving(),
         Revision(state.revision()), now };
     this->lost.erase(id);
 }
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -48,8 +48,8 @@
 
 /// The fields that a gossip message contains for members other than its sender.
 enum class GossipDetail : u8 {
-    /// The heartbeat and a check value of the incarnation, which change all the time. The member counts as being at the
-    /// sender's revision.
+    /// The heartbeat, which changes all the time, and a check value of the incarnation. The member counts as being at
+    /// the sender's revision. Members at another revision and leaving ones are still written in full.
     Compact,
     /// All fields, including role and address, which a peer needs only once.
     Full,
--- a/Libraries/LibNode/Daemon.cpp
+++ b/Libraries/LibNode/Daemon.cpp
@@ -31,7 +31,7 @@
         return 1;
     }
     if (FLAGS_check_settings)
-        std::cout << FLAGS_settings << ": the settings are good" << std::endl;
+        std::cout << FLAGS_settings << ": the settings are valid" << std::endl;
     return 0;
 }
 
--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -12,15 +12,16 @@
 
 using Core::EventNumber;
 
-// Members other than the poller read the table at this multiple of the poll period.
+// Members other than the poller poll the platform at this multiple of the poll periods.
 static constexpr int follower_poll_factor = 10;
 // The owner of this key polls the platform for the failure domain and broadcasts updates.
 static constexpr auto reader_key = "platform-reader";
 static constexpr size_t gossip_fanout = 2;
-// Views are sent in full for some heartbeats after members were added or removed, and periodically in any case.
+// Views are sent in full for some heartbeats after members were added or removed, and in any case once per period,
+// which is counted in heartbeats, too.
 static constexpr u64 full_gossip_heartbeats_after_change = 4;
 static constexpr u64 full_gossip_period = 16;
-static constexpr u64 remote_digest_heartbeats = 5;
+static constexpr u64 heartbeats_per_remote_digest = 5;
 static constexpr Duration leaving_server_retention = 60s;
 static constexpr Duration staleness_limit = 30s;
 static constexpr Duration loop_stuck_timeout = 5s;
@@ -117,13 +118,13 @@
 void Node::send_remote_digest()
 {
     auto const& remote = this->node_settings.remote_peers;
-    if (remote.empty() || !this->is_poller() || this->heartbeat_count % remote_digest_heartbeats != 0)
+    if (remote.empty() || !this->is_poller() || this->heartbeat_count % heartbeats_per_remote_digest != 0)
         return;
     wire::Envelope envelope;
     auto gossip = this->member_table.gossip(this->node_settings.failure_domain, Membership::GossipDetail::Compact);
     envelope.mutable_gossip()->set_failure_domain(this->node_settings.failure_domain.value());
     *envelope.mutable_gossip()->add_members() = gossip.members(0);
-    this->send(remote[this->heartbeat_count / remote_digest_heartbeats % remote.size()], std::move(envelope));
+    this->send(remote[this->heartbeat_count / heartbeats_per_remote_digest % remote.size()], std::move(envelope));
 }
 
 void Node::update_router_known()
@@ -323,8 +324,8 @@
 void Node::poll_configuration()
 {
     auto period = this->node_settings.configuration_poll_period * (this->is_poller() ? 1 : follower_poll_factor);
-    // The first poll is due immediately, and so are the next ones until a configuration is known. After a change of
-    // poller, the new one uses the shorter period at once.
+    // Each call polls until a configuration is known. After a change of poller, the shorter period applies to the new
+    // poller at once.
     auto is_due = this->last_configuration_poll == Instant() || now() - this->last_configuration_poll >= period
         || !this->configuration_known;
     if (this->configuration_poll_runs || !is_due)
--- a/Libraries/LibPlatform/ChangeFollower.h
+++ b/Libraries/LibPlatform/ChangeFollower.h
@@ -60,7 +60,7 @@
 struct FollowerTiming {
     /// How long the platform may hold a call that waits for changes. Limits the time until a lost response is detected.
     Duration wait { 2s };
-    /// Time that a response may publish in addition to `wait`. A slow store takes a few hundred milliseconds.
+    /// Time that a response may take in addition to `wait`. A slow store takes a few hundred milliseconds.
     Duration response_timeout { 1s };
     /// Delay before a failed call is retried; it doubles up to the maximum. Failed calls load the platform as well, and
     /// other processes forward changes in the meantime.
--- a/Libraries/LibPlatform/ClaimBatch.h
+++ b/Libraries/LibPlatform/ClaimBatch.h
@@ -151,7 +151,7 @@
             auto const& claim = (*this->claims)[i];
             auto row = this->store.read(claim_key(claim));
             if (!row) {
-                this->settle_open(this->has_lost_answer ? ClaimVerdict::Unknown : ClaimVerdict::PlatformUnavailable);
+                this->settle_open(this->has_lost_response ? ClaimVerdict::Unknown : ClaimVerdict::PlatformUnavailable);
                 return std::nullopt;
             }
             if (claim_is_held_by(row.value(), claim.nonce)) {
@@ -175,16 +175,16 @@
             return;
         }
         if (result.error().kind == ErrorKind::PlatformAnswerLost)
-            this->has_lost_answer = true;
+            this->has_lost_response = true;
         else
-            this->settle_open(this->has_lost_answer ? ClaimVerdict::Unknown : ClaimVerdict::PlatformUnavailable);
+            this->settle_open(this->has_lost_response ? ClaimVerdict::Unknown : ClaimVerdict::PlatformUnavailable);
     }
 
     Store& store;
     u64 wall_now;
     std::vector<Claim> const* claims { nullptr };
     std::vector<std::optional<ClaimVerdict>> verdicts;
-    bool has_lost_answer { false };
+    bool has_lost_response { false };
 };
 
 }
--- a/Libraries/LibPlatform/HttpPlatform.h
+++ b/Libraries/LibPlatform/HttpPlatform.h
@@ -11,8 +11,8 @@
 
 namespace Platform {
 
-/// Client of the platform's table service, object store and host list over HTTP. Calls block. Each call uses its own
-/// connection, so calls from several threads are safe.
+/// Client of the platform's table service, object store and list of backend servers over HTTP. Calls block. Each call
+/// uses its own connection, so calls from several threads are safe.
 class HttpPlatform {
 public:
     HttpPlatform(Address address, Duration timeout);
--- a/Libraries/LibPlatform/Lease.h
+++ b/Libraries/LibPlatform/Lease.h
@@ -82,7 +82,7 @@
         auto is_free = !row.exists() || now - this->watched_since >= this->term + this->margin;
         if (!is_own && !is_free)
             return std::nullopt;
-        // A renewal keeps the epoch only within the term; after it, another process may have acted in the meantime.
+        // A renewal keeps the epoch only while this process may still act. Later, another process may have acted.
         auto keeps_epoch = is_own && this->may_act(now);
         auto epoch = keeps_epoch ? current.epoch : Epoch(current.epoch.value() + 1);
         this->proposed = { this->holder, epoch, ++this->next_nonce };
@@ -148,7 +148,7 @@
 };
 
 /// Renews or acquires the lease once: reads the row, commits the proposed write, and resolves a lost response by
-/// reading again. Blocks. The term counts from `now()` before the first read.
+/// reading again. Blocks. The clock is read once, before the first read of the row, and the term counts from then.
 template<TableStore Store, typename Now>
 void keep_lease(Lease& lease, Store& store, Now now)
 {
--- a/Libraries/LibPlatform/PlatformJson.cpp
+++ b/Libraries/LibPlatform/PlatformJson.cpp
@@ -123,17 +123,17 @@
         std::vector<BackendServerRecord> records;
         auto array = array_of(object, "hosts");
         for (unsigned i = 0; i < array->size(); ++i) {
-            auto host = array->getObject(i);
+            auto entry = array->getObject(i);
             BackendServerRecord record;
-            record.id = EngineId(host->getValue<std::string>("id"));
-            record.address = Address(host->getValue<std::string>("address"));
-            record.failure_domain = FailureDomainId(host->getValue<std::string>("failure_domain"));
-            record.model = ModelId(host->optValue<std::string>("model", ""));
-            record.service = ServiceName(host->optValue<std::string>("service", ""));
-            record.capacity = TokenCount(host->optValue<Poco::Int64>("capacity_tokens", 0));
-            record.state = host->optValue<std::string>("state", "live") == "leaving" ? BackendServerState::Leaving
-                                                                                     : BackendServerState::Live;
-            record.checks_epochs = host->optValue<bool>("checks_epochs", true);
+            record.id = EngineId(entry->getValue<std::string>("id"));
+            record.address = Address(entry->getValue<std::string>("address"));
+            record.failure_domain = FailureDomainId(entry->getValue<std::string>("failure_domain"));
+            record.model = ModelId(entry->optValue<std::string>("model", ""));
+            record.service = ServiceName(entry->optValue<std::string>("service", ""));
+            record.capacity = TokenCount(entry->optValue<Poco::Int64>("capacity_tokens", 0));
+            record.state = entry->optValue<std::string>("state", "live") == "leaving" ? BackendServerState::Leaving
+                                                                                      : BackendServerState::Live;
+            record.checks_epochs = entry->optValue<bool>("checks_epochs", true);
             records.push_back(std::move(record));
         }
         return records;
--- a/Libraries/LibRouter/ClaimHandler.cpp
+++ b/Libraries/LibRouter/ClaimHandler.cpp
@@ -10,7 +10,8 @@
 namespace Router {
 
 static constexpr size_t max_batch_size = 200;
-// The owner of the claims in each failure domain writes at most once per period: few writes beside those of the claims.
+// In each failure domain, only the router that owns the key "claims" sweeps. It commits at most one transaction per
+// period, which adds little to the writes of the claims themselves.
 static constexpr Duration sweep_period = 20s;
 static constexpr size_t rows_per_sweep = 500;
 
--- a/Libraries/LibWire/DatagramTransport.cpp
+++ b/Libraries/LibWire/DatagramTransport.cpp
@@ -14,9 +14,9 @@
 
 /// Limits the datagrams read per event loop iteration, so that a flood of messages does not starve timers.
 static constexpr size_t max_datagrams_per_iteration = 256;
-/// Interval of log lines about malformed datagrams of one sender, since such a sender usually sends many.
+/// Minimum interval between log lines about malformed datagrams of one sender, which usually sends many of them.
 static constexpr Duration malformed_log_interval = 1min;
-/// Limit of the senders that are tracked for this.
+/// Maximum number of senders whose last log line is remembered.
 static constexpr size_t max_logged_senders = 256;
 
 static std::optional<boost::asio::ip::udp::endpoint> parse_endpoint(std::string_view text)
--- a/Libraries/LibWire/DatagramTransport.h
+++ b/Libraries/LibWire/DatagramTransport.h
@@ -21,7 +21,7 @@
 
 /// Sends and receives one-way messages between the system's own processes. Each message is one UDP datagram, and one
 /// socket serves all peers. Messages may be lost or reordered, so senders must repeat important messages or serve
-/// requests for them. Loop thread only.
+/// requests for them. Only for the event loop thread.
 class DatagramTransport {
 public:
     using Handler = std::function<void(wire::Envelope const&)>;
--- a/Libraries/LibWire/PeerTransport.h
+++ b/Libraries/LibWire/PeerTransport.h
@@ -28,7 +28,7 @@
 };
 
 /// Sends and receives one-way messages between the system's own processes over ZeroMQ. Delivery is best effort, and in
-/// order per sender. A reply is a separate message to the sender's address. Loop thread only.
+/// order per sender. A reply is a separate message to the sender's address. Only for the event loop thread.
 class PeerTransport {
 public:
     using Handler = std::function<void(wire::Envelope const&)>;
--- a/Tests/LibPlatform/TestChangeFollower.cpp
+++ b/Tests/LibPlatform/TestChangeFollower.cpp
@@ -98,7 +98,7 @@
         {
             source.respond(ChangePage { { change("b", 12) }, 13 });
             CHECK(seen == std::vector<std::string> { "b" });
-            THEN("it is passed on for other processes, with the version of the previous change")
+            THEN("it is reported as fetched, with the version of the previous change")
             {
                 CHECK(fetched == std::vector<u64> { 3 });
                 CHECK(follower.last_change() == 12);
--- a/Tests/LibPlatform/TestLease.cpp
+++ b/Tests/LibPlatform/TestLease.cpp
@@ -96,7 +96,7 @@
                     { 2, Fault::LoseResponse }, { 1, Fault::LoseRequest } }));
             views[who].script(faults);
             auto pause = *rc::gen::inRange(0, 4);
-            // Time passes whenever the lease reads its clock.
+            // Time passes whenever keep_lease() reads the clock.
             Platform::keep_lease(leases[who], views[who], [&] {
                 clock.advance(std::chrono::seconds(pause));
                 return clock.now();
--- a/Tests/LibWire/TestPeerTransport.cpp
+++ b/Tests/LibWire/TestPeerTransport.cpp
@@ -15,7 +15,7 @@
         + ".9:" + std::to_string(port));
 }
 
-static Wire::CurveKeys draw_keys()
+static Wire::CurveKeys generate_keys()
 {
     constexpr size_t key_size = 41;
     char public_key[key_size];
@@ -61,15 +61,15 @@
 
 SCENARIO("messages are accepted only from processes with the deployment's keys")
 {
-    auto keys = draw_keys();
+    auto keys = generate_keys();
     Peer receiver("router-1", 7803, keys);
-    Peer stranger("stranger", 7804, draw_keys());
+    Peer stranger("stranger", 7804, generate_keys());
     Peer without_keys("without-keys", 7805, {});
     Peer own("gateway-1", 7806, keys);
     // The spy knows the deployment's public key, which is not secret, but not the secret key.
     zmq::context_t context;
     zmq::socket_t spy(context, zmq::socket_type::dealer);
-    auto spy_keys = draw_keys();
+    auto spy_keys = generate_keys();
     spy.set(zmq::sockopt::linger, 0);
     spy.set(zmq::sockopt::curve_publickey, spy_keys.public_key);
     spy.set(zmq::sockopt::curve_secretkey, spy_keys.secret_key);
