--- a/Libraries/LibCore/HybridClock.h
+++ b/Libraries/LibCore/HybridClock.h
@@ -12,8 +12,8 @@
 
 namespace Core {
 
-/// A timestamp that orders events of several processes. It is later than every timestamp that its process had observed
-/// before.
+/// A timestamp that orders events of several processes. It is later than all timestamps that its process had issued or
+/// merged before.
 struct HybridStamp {
     u64 wall_milliseconds { 0 };
     u32 counter { 0 };
