--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -157,8 +157,8 @@
         constexpr double short_prompt = 2200;
         constexpr double short_output = 10;
         auto held = [](double prompt, double output) {
-            auto const reading = prompt / prefill_tokens_per_second;
-            return (prompt + output) * (reading + output / decode_tokens_per_second);
+            auto const prefill_seconds = prompt / prefill_tokens_per_second;
+            return (prompt + output) * (prefill_seconds + output / decode_tokens_per_second);
         };
         auto const mean = long_request_share * held(long_prompt, long_output)
             + (1 - long_request_share) * held(short_prompt, short_output);
@@ -269,8 +269,8 @@
         engine.waiting.pop_front();
         engine.used += next.held();
         engine.is_prefilling = true;
-        auto const reading = AK::from_seconds(double(next.held()) / prefill_tokens_per_second);
-        this->schedule_for(number, this->now + reading, [this, number, next] { this->start_decoding(number, next); });
+        auto const prefill_duration = AK::from_seconds(double(next.held()) / prefill_tokens_per_second);
+        this->schedule_for(number, this->now + prefill_duration, [this, number, next] { this->start_decoding(number, next); });
     }
 
     void start_decoding(u32 number, Running prefilled)
--- a/Libraries/LibScheduling/Systems.h
+++ b/Libraries/LibScheduling/Systems.h
@@ -38,8 +38,8 @@
     /// Number of requests at the head of an organisation's queue that are considered, so that small ones may bypass
     /// large ones of the same organisation.
     size_t bypass_depth { 4 };
-    /// Whether one engine is reserved for a request that has waited that long. Otherwise admission stops on all
-    /// engines.
+    /// Whether one engine is reserved for a request that has waited for `bypass_share` of its deadline. Otherwise
+    /// admission stops on all engines.
     bool reserves_engine { true };
     /// A request is large if its prompt takes this share of an engine. While large requests arrive, the least loaded
     /// engine is kept for them if its memory utilisation exceeds `spare_above`.
