--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -42,7 +42,7 @@
             this->gateway.post_finished(generation, wire::FINISH_COMPLETED, this->relay.next_offset(), "completed");
             this->writer.finish(this->relay.next_offset());
             return;
-        case RelayEnd::CallerGone:
+        case RelayEnd::CallerDisconnected:
             this->gateway.post_caller_gone(
                 { generation, placed.placement.address, placed.placement.attempt, this->attachment },
                 this->relay.next_offset());
@@ -136,7 +136,7 @@
             auto end = this->forward(source, *token);
             if (end == RelayEnd::Finished)
                 continue;
-            if (end == RelayEnd::CallerGone)
+            if (end == RelayEnd::CallerDisconnected)
                 return end;
         } else if (auto const* finished = std::get_if<EngineFinished>(&item)) {
             if (finished->token_count == this->relay.next_offset())
@@ -170,7 +170,7 @@
         this->gateway.post_first_token(source.generation);
     }
     if (!this->writer.write_token(token.text, token.offset, token.attempt))
-        return RelayEnd::CallerGone;
+        return RelayEnd::CallerDisconnected;
     this->measure_token(is_first);
     if (this->call)
         this->call->delivered = static_cast<u32>(this->relay.next_offset());
@@ -218,7 +218,7 @@
     case RelayEnd::Finished:
         this->writer.finish(this->relay.next_offset());
         break;
-    case RelayEnd::CallerGone:
+    case RelayEnd::CallerDisconnected:
         this->gateway.post_caller_gone(
             { token.generation, token.engine_address, token.attempt, this->attachment }, this->relay.next_offset());
         break;
--- a/Libraries/LibGateway/GenerationSession.h
+++ b/Libraries/LibGateway/GenerationSession.h
@@ -28,7 +28,7 @@
 private:
     enum class RelayEnd : u8 {
         Finished,
-        CallerGone,
+        CallerDisconnected,
         /// The engine did not start the attempt.
         NotStarted,
         EngineLeaving,
