--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -331,7 +331,7 @@
     });
 }
 
-void GatewayLoop::post_caller_gone(EngineSource const& source, u64 token_count)
+void GatewayLoop::post_caller_disconnected(EngineSource const& source, u64 token_count)
 {
     auto cancel = [this, source, token_count] {
         this->node.background().submit(
--- a/Libraries/LibGateway/GatewayLoop.h
+++ b/Libraries/LibGateway/GatewayLoop.h
@@ -34,7 +34,7 @@
     void post_finished(GenerationId const&, wire::FinishReason, u64 token_count, std::string const& text);
     /// Handles the loss of the caller's connection. The generation is cancelled after the resume grace period, unless
     /// the caller has resumed it by then, at this gateway or another one.
-    void post_caller_gone(EngineSource const&, u64 token_count);
+    void post_caller_disconnected(EngineSource const&, u64 token_count);
     void post_resume(std::shared_ptr<ResumeCall>);
     void post_resume_ended(GenerationId const&);
 
--- a/Libraries/LibGateway/GenerationSession.cpp
+++ b/Libraries/LibGateway/GenerationSession.cpp
@@ -43,7 +43,7 @@
             this->writer.finish(this->relay.next_offset());
             return;
         case RelayEnd::CallerDisconnected:
-            this->gateway.post_caller_gone(
+            this->gateway.post_caller_disconnected(
                 { generation, placed.placement.address, placed.placement.attempt, this->attachment },
                 this->relay.next_offset());
             return;
@@ -219,7 +219,7 @@
         this->writer.finish(this->relay.next_offset());
         break;
     case RelayEnd::CallerDisconnected:
-        this->gateway.post_caller_gone(
+        this->gateway.post_caller_disconnected(
             { token.generation, token.engine_address, token.attempt, this->attachment }, this->relay.next_offset());
         break;
     default:
