--- a/StandIns/PlatformRunner/PlatformRunner.cpp
+++ b/StandIns/PlatformRunner/PlatformRunner.cpp
@@ -8,7 +8,7 @@
 #include <StandIns/PlatformRunner/PlatformRunner.h>
 #include <sstream>
 
-namespace StandIn {
+namespace StandIns {
 
 namespace Json = boost::json;
 
--- a/StandIns/PlatformRunner/PlatformRunner.h
+++ b/StandIns/PlatformRunner/PlatformRunner.h
@@ -12,7 +12,7 @@
 #include <map>
 #include <optional>
 
-namespace StandIn {
+namespace StandIns {
 
 /// Simulates one of the platform's runners: a plain service, or an engine whose generations can be copied to another
 /// engine and continue there. Runs on its owner's event loop; the owner decides when events are produced.
--- a/StandIns/PlatformStore/PlatformStore.cpp
+++ b/StandIns/PlatformStore/PlatformStore.cpp
@@ -11,7 +11,7 @@
 #include <StandIns/PlatformStore/PlatformStore.h>
 #include <sstream>
 
-namespace StandIn {
+namespace StandIns {
 
 namespace Json = boost::json;
 
--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -12,7 +12,7 @@
 #include <list>
 #include <map>
 
-namespace StandIn {
+namespace StandIns {
 
 /// Simulates the part of the platform's metadata store (see PROTOCOL) that hosts use: GET /rows-get, GET /rows-feed
 /// with long polling, and POST /rows-tx. Runs on its owner's event loop. Supports fault injection.
--- a/Tests/Platform/HostFixture.h
+++ b/Tests/Platform/HostFixture.h
@@ -15,8 +15,8 @@
 
 namespace Test {
 
-using StandIn::PlatformRunner;
-using StandIn::PlatformStore;
+using StandIns::PlatformRunner;
+using StandIns::PlatformStore;
 
 /// A caller's request and the part of its response that has been received.
 struct Call {
--- a/Tests/Platform/TestEndToEnd.cpp
+++ b/Tests/Platform/TestEndToEnd.cpp
@@ -8,7 +8,7 @@
 #include <boost/asio/write.hpp>
 
 using Test::HostFixture;
-using Fault = StandIn::PlatformRunner::Fault;
+using Fault = StandIns::PlatformRunner::Fault;
 
 SCENARIO("a call to a plain service goes through a host on the users' platform")
 {
@@ -227,7 +227,7 @@
 SCENARIO("a host without a configuration says that it cannot serve yet")
 {
     HostFixture fixture;
-    fixture.store.set_mode(StandIn::PlatformStore::Mode::Busy);
+    fixture.store.set_mode(StandIns::PlatformStore::Mode::Busy);
     fixture.start_host();
     CHECK_FALSE(fixture.is_ready());
     auto call = fixture.finished_call(HostFixture::request("/lookup/1", "c1"));
@@ -235,7 +235,7 @@
     CHECK(call->headers.contains("Retry-After"));
     THEN("it becomes ready once the platform answers")
     {
-        fixture.store.set_mode(StandIn::PlatformStore::Mode::Serving);
+        fixture.store.set_mode(StandIns::PlatformStore::Mode::Serving);
         fixture.put_configuration(3);
         fixture.until([&] { return fixture.is_ready(); });
         CHECK(fixture.log_has("event=E1302 platform_available"));
--- a/Tests/Platform/TestGenerations.cpp
+++ b/Tests/Platform/TestGenerations.cpp
@@ -7,7 +7,7 @@
 #include <Tests/Platform/HostFixture.h>
 
 using Test::HostFixture;
-using Fault = StandIn::PlatformRunner::Fault;
+using Fault = StandIns::PlatformRunner::Fault;
 
 /// Returns the event numbers in a response body as a comma-separated list.
 static std::string numbers_in(std::string const& body)
--- a/Tests/Platform/TestPlatformUpdates.cpp
+++ b/Tests/Platform/TestPlatformUpdates.cpp
@@ -7,7 +7,7 @@
 #include <Tests/Platform/HostFixture.h>
 
 using Test::HostFixture;
-using Mode = StandIn::PlatformStore::Mode;
+using Mode = StandIns::PlatformStore::Mode;
 
 static std::string const extra_route
     = R"(,{"name":"extra","host":"tolls.example","path_prefix":"/extra/","kind":"safe","timeout_ms":4000,"service":"lanes"})";
--- a/Tests/Soak/Configuration.cpp
+++ b/Tests/Soak/Configuration.cpp
@@ -55,7 +55,7 @@
 
 static Json::array services()
 {
-    using StandIn::PlatformRunner;
+    using StandIns::PlatformRunner;
     auto engines = service_entry(engine_service);
     // Token bytes, link rate and stride are those of Tests/Platform/HostFixture.h.
     engines["engine"] = Json::object { { "slots", PlatformRunner::slots }, { "kv_capacity", PlatformRunner::kv_tokens },
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -143,7 +143,7 @@
     instance.domain = domain;
     auto const endpoint = Test::free_endpoint();
     instance.link = std::make_unique<FaultProxy>(this->loop, Test::free_endpoint(), endpoint);
-    instance.runner = std::make_unique<StandIn::PlatformRunner>(this->loop, endpoint, instance.id);
+    instance.runner = std::make_unique<StandIns::PlatformRunner>(this->loop, endpoint, instance.id);
     instance.runner->set_advertised_address(Test::text_of(instance.link->endpoint()));
     instance.runner->planned_events = PromiseChecker::planned_events;
     instance.runner->set_work_time(plain_work_time);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -56,7 +56,7 @@
     std::string service;
     std::string domain;
     std::unique_ptr<FaultProxy> link;
-    std::unique_ptr<StandIn::PlatformRunner> runner;
+    std::unique_ptr<StandIns::PlatformRunner> runner;
     /// When the store was updated with its leaving.
     std::optional<Instant> leaving_since;
     bool is_terminated { false };
@@ -134,7 +134,7 @@
     /// See UsersPlatform::backend_table in platform/UsersPlatform.h.
     static constexpr auto servers_table = "servers";
     Http::tcp::endpoint const store_endpoint;
-    StandIn::PlatformStore store;
+    StandIns::PlatformStore store;
     Configuration configuration;
     /// When the store accepted each version of the configuration, by number.
     std::map<u64, Instant> version_times;
--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -12,7 +12,7 @@
 
 namespace Soak {
 
-using Fault = StandIn::PlatformRunner::Fault;
+using Fault = StandIns::PlatformRunner::Fault;
 
 static constexpr Duration min_fault_duration = 300ms;
 static constexpr Duration max_fault_duration = 4s;
@@ -91,7 +91,7 @@
 {
     this->is_over = true;
     this->standing.end();
-    this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Serving);
+    this->deployment.store.set_mode(StandIns::PlatformStore::Mode::Serving);
     this->deployment.store.set_version_lag(0);
     for (auto& host : this->deployment.hosts) {
         host->platform_link->heal();
@@ -208,23 +208,23 @@
 
 // --- the platform
 
-void FaultSchedule::begin_platform_mode(StandIn::PlatformStore::Mode mode, std::string const& what)
+void FaultSchedule::begin_platform_mode(StandIns::PlatformStore::Mode mode, std::string const& what)
 {
     auto duration = this->draw_fault_duration();
     this->log_fault(what);
     this->deployment.mark_all_affected(duration + aftermath);
     this->deployment.store.set_mode(mode);
-    this->after(duration, [this] { this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Serving); });
+    this->after(duration, [this] { this->deployment.store.set_mode(StandIns::PlatformStore::Mode::Serving); });
 }
 
 void FaultSchedule::platform_busy()
 {
-    this->begin_platform_mode(StandIn::PlatformStore::Mode::Busy, "the platform rejects all calls");
+    this->begin_platform_mode(StandIns::PlatformStore::Mode::Busy, "the platform rejects all calls");
 }
 
 void FaultSchedule::platform_silent()
 {
-    this->begin_platform_mode(StandIn::PlatformStore::Mode::Silent, "the platform is silent");
+    this->begin_platform_mode(StandIns::PlatformStore::Mode::Silent, "the platform is silent");
 }
 
 void FaultSchedule::platform_loses_history()
@@ -251,11 +251,11 @@
     auto duration = this->draw_fault_duration();
     this->log_fault("the platform is unavailable, and entries expire meanwhile");
     this->deployment.mark_all_affected(duration + Deployment::list_recovery_time + aftermath);
-    this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Silent);
+    this->deployment.store.set_mode(StandIns::PlatformStore::Mode::Silent);
     for (auto* instance : serving)
         this->deployment.store.remove(Deployment::servers_table, instance->id);
     this->after(duration, [this, serving] {
-        this->deployment.store.set_mode(StandIn::PlatformStore::Mode::Serving);
+        this->deployment.store.set_mode(StandIns::PlatformStore::Mode::Serving);
         for (auto* instance : serving) {
             auto delay = this->draw_duration(0s, Deployment::list_recovery_time / 2);
             this->after(delay, [this, instance] {
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -70,7 +70,7 @@
     void unlist_runner();
     void corrupt_responses();
 
-    void begin_platform_mode(StandIn::PlatformStore::Mode, std::string const& what);
+    void begin_platform_mode(StandIns::PlatformStore::Mode, std::string const& what);
     /// Schedules the healing of a link and returns it; the function's caller impairs it.
     template<typename Link>
     Link& impair_link(HostInstance&, Link&, std::string const& what);
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -80,7 +80,7 @@
 }
 
 void PromiseChecker::check_arrival(
-    std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const& received)
+    std::string const& runner, std::string const& service, StandIns::PlatformRunner::Received const& received)
 {
     auto known = this->requests.find(received.attempt);
     if (known == this->requests.end())
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -75,7 +75,8 @@
 public:
     void record_sent(std::string const& attempt, SentRequest);
     /// A backend server has read a request.
-    void check_arrival(std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const&);
+    void check_arrival(
+        std::string const& runner, std::string const& service, StandIns::PlatformRunner::Received const&);
     void check_response(std::string const& attempt, ObservedResponse);
     /// Counts how an exchange ended. A running host responds to every request that it forwards, despite any fault of
     /// itself, the platform or the backend server. A request whose connection it closed must therefore never reach a
