--- a/Libraries/LibOverloadModel/ModelPool.h
+++ b/Libraries/LibOverloadModel/ModelPool.h
@@ -124,17 +124,17 @@
         bool is_retry { false };
         std::shared_ptr<Outcome> outcome;
     };
-    struct Waiting {
+    struct Placement {
         Generation generation;
         u32 from_domain { 0 };
     };
     struct Running {
-        Waiting what;
+        Placement placement;
         /// Tokens of its output so far.
         i64 produced { 0 };
         bool has_begun { false };
         bool is_in_time { false };
-        [[nodiscard]] i64 held() const { return this->what.generation.prompt + this->produced; }
+        [[nodiscard]] i64 held() const { return this->placement.generation.prompt + this->produced; }
     };
     struct Engine {
         i64 used { 0 };
@@ -238,22 +238,22 @@
         if (this->shape.policy == Policy::Admission)
             return Serving::admit(
                 candidates, {}, { need, generation.goal }, TokenCount(memory), inputs, this->choice_random);
-        Serving::Admission taken;
-        taken.engine
+        Serving::Admission admission;
+        admission.engine
             = Serving::choose_for_generation(candidates, {}, need, TokenCount(memory), inputs, this->choice_random);
-        return taken;
+        return admission;
     }
 
-    void place(u32 number, Waiting waiting)
+    void place(u32 number, Placement placement)
     {
-        auto const domain = waiting.from_domain;
-        auto const prompt = waiting.generation.prompt;
+        auto const domain = placement.from_domain;
+        auto const prompt = placement.generation.prompt;
         this->broadcast_change(number, domain, [prompt](Serving::EngineLoad& load) {
             ++load.peer_generations;
             load.peer_tokens += prompt;
             load.peer_unread_tokens += prompt;
         });
-        this->engines[number].waiting.push_back({ std::move(waiting) });
+        this->engines[number].waiting.push_back({ std::move(placement) });
         this->advance(number);
     }
 
@@ -270,7 +270,8 @@
         engine.used += next.held();
         engine.is_prefilling = true;
         auto const prefill_duration = AK::from_seconds(double(next.held()) / prefill_tokens_per_second);
-        this->schedule_for(number, this->now + prefill_duration, [this, number, next] { this->start_decoding(number, next); });
+        this->schedule_for(
+            number, this->now + prefill_duration, [this, number, next] { this->start_decoding(number, next); });
     }
 
     void start_decoding(u32 number, Running prefilled)
@@ -278,7 +279,7 @@
         auto& engine = this->engines[number];
         engine.is_prefilling = false;
         if (!std::exchange(prefilled.has_begun, true))
-            prefilled.is_in_time = this->emit_first_event(number, prefilled.what);
+            prefilled.is_in_time = this->emit_first_event(number, prefilled.placement);
         auto const id = engine.begun++;
         engine.running.emplace(id, prefilled);
         this->emit_events(number, id);
@@ -286,12 +287,12 @@
     }
 
     /// Returns whether the event is in time.
-    bool emit_first_event(u32 number, Waiting const& what)
+    bool emit_first_event(u32 number, Placement const& placement)
     {
-        auto const& generation = what.generation;
+        auto const& generation = placement.generation;
         bool const is_late = this->now - generation.arrived_at > generation.goal;
         ++(is_late ? generation.outcome->late : generation.outcome->in_time);
-        this->broadcast_change(number, what.from_domain,
+        this->broadcast_change(number, placement.from_domain,
             [prompt = generation.prompt](Serving::EngineLoad& load) { load.peer_unread_tokens -= prompt; });
         return !is_late;
     }
@@ -302,7 +303,7 @@
         auto const running = engine.running.find(id);
         if (running == engine.running.end())
             return;
-        auto const left = running->second.what.generation.output - running->second.produced;
+        auto const left = running->second.placement.generation.output - running->second.produced;
         if (left <= 0)
             return this->finish(number, id);
         auto const step = std::min(left, 20 * tokens_per_event);
@@ -310,8 +311,8 @@
             return;
         running->second.produced += step;
         engine.used += step;
-        this->broadcast_change(
-            number, running->second.what.from_domain, [step](Serving::EngineLoad& load) { load.peer_tokens += step; });
+        this->broadcast_change(number, running->second.placement.from_domain,
+            [step](Serving::EngineLoad& load) { load.peer_tokens += step; });
         this->schedule_for(number, this->now + AK::from_seconds(double(step) / decode_tokens_per_second),
             [this, number, id] { this->emit_events(number, id); });
     }
@@ -337,8 +338,8 @@
     {
         if (!std::exchange(paused.is_in_time, false))
             return;
-        --paused.what.generation.outcome->in_time;
-        ++paused.what.generation.outcome->late;
+        --paused.placement.generation.outcome->in_time;
+        ++paused.placement.generation.outcome->late;
     }
 
     void finish(u32 number, u64 id)
@@ -346,10 +347,11 @@
         auto& engine = this->engines[number];
         auto const finished = engine.running.extract(id).mapped();
         engine.used -= finished.held();
-        this->broadcast_change(number, finished.what.from_domain, [held = finished.held()](Serving::EngineLoad& load) {
-            --load.peer_generations;
-            load.peer_tokens -= held;
-        });
+        this->broadcast_change(
+            number, finished.placement.from_domain, [held = finished.held()](Serving::EngineLoad& load) {
+                --load.peer_generations;
+                load.peer_tokens -= held;
+            });
         this->advance(number);
     }
 
--- a/Libraries/LibScheduling/LengthForecast.cpp
+++ b/Libraries/LibScheduling/LengthForecast.cpp
@@ -68,7 +68,7 @@
 {
     auto finished_count = this->finished[bin] / this->weight;
     // An output that entered long ago weighs less than its recent end, so finished may exceed entered. The hazard must
-    // not reach 1 by this.
+    // not reach 1 because of this.
     auto entered_count = std::max(this->entered[bin] / this->weight, finished_count);
     auto hazard = (finished_count + strength * prior) / (entered_count + strength);
     return std::min(hazard, max_hazard);
--- a/Meta/generate-protobuf.sh
+++ b/Meta/generate-protobuf.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-2-Clause
-# Regenerates Libraries/LibWire/Generated from the schema files. The output is committed; the build never
-# runs this script.
+# Regenerates Libraries/LibWire/Generated from the schema files. The output is committed; the build never runs this
+# script.
 set -euo pipefail
 cd "$(dirname "$0")/../Libraries/LibWire"
 mkdir -p Generated
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -28,7 +28,7 @@
 
 /// The view of host 0 of the first domain. It receives messages from all hosts of its own domain and from two hosts of
 /// each remote domain.
-Reachability reach_of_host(i64 hosts)
+Reachability reachability_of_host(i64 hosts)
 {
     Reachability reachability(domain_of(0));
     for (i64 host = 1; host < hosts; ++host) {
@@ -58,25 +58,25 @@
 /// Selects the engines that this host polls for reports. Runs every 350 ms.
 void round_of_reports(benchmark::State& state)
 {
-    auto const reachability = reach_of_host(state.range(0));
+    auto const reachability = reachability_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     auto const own = address_of(0);
     for (auto _ : state) {
-        size_t mine = 0;
+        size_t responsible = 0;
         for (auto const& backend : table.running())
-            mine
+            responsible
                 += reachability.is_responsible_for(own, backend->server.id.value(), backend->server.failure_domain, now)
                 ? 1
                 : 0;
-        benchmark::DoNotOptimize(mine);
+        benchmark::DoNotOptimize(responsible);
     }
 }
 
 /// Decides whether this host reads the platform, and for which hosts. Runs 20 times per second.
 void choice_of_reader(benchmark::State& state)
 {
-    auto const reachability = reach_of_host(state.range(0));
+    auto const reachability = reachability_of_host(state.range(0));
     auto const own = address_of(0);
     for (auto _ : state) {
         benchmark::DoNotOptimize(reachability.reads_platform(own, now));
@@ -88,7 +88,7 @@
 /// Chooses the engine for one generation.
 void placement(benchmark::State& state)
 {
-    auto const reachability = reach_of_host(state.range(0));
+    auto const reachability = reachability_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     boost::random::mt19937 random(1);
@@ -102,7 +102,7 @@
 /// Decides whether to admit one generation, and chooses its engine.
 void admission(benchmark::State& state)
 {
-    auto const reachability = reach_of_host(state.range(0));
+    auto const reachability = reachability_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     boost::random::mt19937 random(1);
@@ -128,9 +128,9 @@
         message.set_domain_speaker("10.1.0.1:7200");
         auto const text = message.SerializeAsString();
         bytes = text.size();
-        wire::HostUse heard;
-        heard.ParseFromString(text);
-        use.apply(MemberId("hall-1"), heard, table, now);
+        wire::HostUse received;
+        received.ParseFromString(text);
+        use.apply(MemberId("hall-1"), received, table, now);
     }
     state.counters["bytes"] = static_cast<double>(bytes);
 }
--- a/Utilities/lilacctl.cpp
+++ b/Utilities/lilacctl.cpp
@@ -24,7 +24,7 @@
 
 static constexpr auto usage = R"(Command-line tool for operators of lilactiller.
 
-  lilacctl apply FILE         apply the changes in FILE, one JSON object of the schema's Change a line
+  lilacctl apply FILE         apply the changes in FILE, one JSON object (the schema's Change) per line
   lilacctl diff FILE          show which changes in FILE are not in force yet
   lilacctl get                show the configuration in force
   lilacctl watch              show changes as they are accepted
--- a/Utilities/policybench.cpp
+++ b/Utilities/policybench.cpp
@@ -59,7 +59,7 @@
     std::vector<Cell> cells;
     for (auto const& shape : split_at_commas(FLAGS_shapes)) {
         for (auto const& variation : split_at_commas(FLAGS_variations)) {
-            // Variations are measured at one load, the one at which the bar is set.
+            // Variations are measured at only one load, the one that the acceptance criteria refer to.
             for (auto const& load :
                 variation == "plain" ? split_at_commas(FLAGS_loads) : std::vector<std::string> { "0.9" }) {
                 auto scenario
@@ -116,9 +116,10 @@
     for (auto const& key : order) {
         auto const& [scenario, load, policy] = key;
         auto const& row = rows.at(key);
-        auto limit = rows.find({ scenario, load, "clairvoyant" });
-        auto ratio
-            = [&](double Row::*field) { return limit == rows.end() ? 0 : row.mean(field) / limit->second.mean(field); };
+        auto clairvoyant = rows.find({ scenario, load, "clairvoyant" });
+        auto ratio = [&](double Row::*field) {
+            return clairvoyant == rows.end() ? 0 : row.mean(field) / clairvoyant->second.mean(field);
+        };
         auto milliseconds = [&](double Row::*field) { return row.mean(field) * 1000; };
         out << "| " << scenario << " | " << std::setprecision(1) << load << " | " << policy << " | "
             << std::setprecision(0) << milliseconds(&Row::stall_p50) << " | " << milliseconds(&Row::stall_p95) << " | "
