--- a/Libraries/LibPolicyBench/Dispatcher.h
+++ b/Libraries/LibPolicyBench/Dispatcher.h
@@ -39,8 +39,8 @@
 };
 using TrueStates = std::unordered_map<GenerationId, TrueState>;
 
-/// The theoretical optimum: knows the length and the exact progress of each generation, and admits those that will
-/// never exceed the memory.
+/// The limit that other policies are compared with: knows the length and the exact progress of each generation, and
+/// admits those that will never exceed the memory.
 class ClairvoyantAdmission {
 public:
     explicit ClairvoyantAdmission(TrueStates const& states)
--- a/StandIns/Common/StandInMain.h
+++ b/StandIns/Common/StandInMain.h
@@ -11,8 +11,8 @@
 
 namespace StandIns {
 
-/// Parses the flags and installs the signal handlers of a stand-in's main(). wait() on the result returns when the
-/// process receives a stop signal.
+/// Parses the flags of a stand-in's main() and blocks the stop signals; see Core::StopSignal. wait() on the result
+/// returns when one of them arrives.
 Core::StopSignal prepare(int argc, char** argv, std::string const& usage);
 
 }
