--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -71,7 +71,7 @@
     : loop(loop)
     , deployment(deployment)
     , random(seed)
-    , standing(loop, deployment, seed)
+    , background_faults(loop, deployment, seed)
 {
     auto const kinds = kinds_of(static_cast<Mix>(seed % mix_count));
     for (u32 i = 0; i < count; ++i)
@@ -84,13 +84,13 @@
     this->started_at = Deployment::now();
     for (auto const& entry : this->entries)
         this->after(entry.at, [this, begin = entry.begin] { (this->*begin)(); });
-    this->standing.start();
+    this->background_faults.start();
 }
 
 void FaultSchedule::heal()
 {
     this->is_over = true;
-    this->standing.end();
+    this->background_faults.end();
     this->deployment.store.set_mode(StandIns::PlatformStore::Mode::Serving);
     this->deployment.store.set_version_lag(0);
     for (auto& host : this->deployment.hosts) {
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -90,7 +90,7 @@
     Http::asio::io_context& loop;
     Deployment& deployment;
     boost::random::mt19937 random;
-    BackgroundFaults standing;
+    BackgroundFaults background_faults;
     std::vector<Entry> entries;
     Instant started_at {};
     bool is_over { false };
