--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -104,7 +104,7 @@
     }
     for (size_t i = 0; i < size.services; ++i)
         this->services.push_back(std::make_unique<StandIns::FakeService>(any_port, "service-" + std::to_string(i)));
-    this->publish_hosts();
+    this->publish_backend_servers();
     this->apply(R"({"putModel":{"id":"writer"}})");
     for (auto const* name : { "toll", "hanak" }) {
         auto hash = Delivery::sha256_hexadecimal(std::string(name) + "-key");
@@ -262,7 +262,7 @@
     REQUIRE(accepted.has_value());
 }
 
-void TestFleet::publish_hosts()
+void TestFleet::publish_backend_servers()
 {
     std::vector<Platform::BackendServerRecord> hosts;
     for (size_t i = 0; i < this->engines.size(); ++i)
--- a/Tests/Support/TestFleet.h
+++ b/Tests/Support/TestFleet.h
@@ -115,7 +115,7 @@
     size_t owner();
 
     void apply(std::string const& change_json);
-    void publish_hosts();
+    void publish_backend_servers();
     CallerClient caller(std::string const& key = "toll-key") const;
     /// Runs `count` generations concurrently and returns what their callers saw.
     std::vector<GenerationResult> generate(size_t count, int tokens, std::function<void()> const& meanwhile = {});
