--- a/Tests/Soak/DatagramProxy.h
+++ b/Tests/Soak/DatagramProxy.h
@@ -24,7 +24,7 @@
     [[nodiscard]] Http::tcp::endpoint const& target_endpoint() const { return this->target; }
     /// From now on, delays datagrams and drops one in `drop_one_in`.
     void set_slow_and_lossy(Duration new_delay, u32 drop_one_in);
-    void hold_all() { this->drops_all = true; }
+    void drop_all() { this->drops_all = true; }
     void heal();
 
 private:
