--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -334,7 +334,7 @@
             continue;
         this->deployment.mark_affected(*host, duration + aftermath);
         host->platform_link->hold_all();
-        host->peer_link->hold_all();
+        host->peer_link->drop_all();
         this->after(duration, [affected = host.get()] {
             affected->platform_link->heal();
             affected->peer_link->heal();
