--- a/Tests/Soak/FaultSchedule.cpp
+++ b/Tests/Soak/FaultSchedule.cpp
@@ -312,7 +312,7 @@
     auto& host = this->draw_host();
     auto& link
         = this->impair_link(host, *host.peer_link, "all messages of the other hosts to " + host.name + " are dropped");
-    link.hold_all();
+    link.drop_all();
 }
 
 void FaultSchedule::delay_peer_link()
