--- a/Tests/Soak/BackgroundFaults.cpp
+++ b/Tests/Soak/BackgroundFaults.cpp
@@ -12,9 +12,10 @@
 namespace Soak {
 
 /// Stalls last about as long as the hosts' idle timeout, so that a stalled host finds expired timers and callers'
-/// requests waiting together. With four hosts, each one stalls about every 3.6 s (computed).
+/// requests waiting together.
 static constexpr Duration min_stall = idle_timeout / 2;
 static constexpr Duration max_stall = idle_timeout * 3 / 2;
+/// Time between the starts of two faults of one kind. With four hosts, each one stalls about every 3.6 s (computed).
 static constexpr Duration min_fault_interval = 300ms;
 static constexpr Duration max_fault_interval = 1500ms;
 /// For how long backend servers reject all requests, and the back-off that they request. One time in
@@ -127,11 +128,11 @@
 void BackgroundFaults::request_back_off()
 {
     auto const* service = draw_below(this->back_off_random, 2) == 0 ? plain_service : engine_service;
-    auto backing_off = this->deployment.serving(service);
-    bool const all_back_off = draw_below(this->back_off_random, whole_service_odds) == 0;
-    if (!all_back_off && !backing_off.empty())
-        backing_off = { backing_off.at(draw_below(this->back_off_random, static_cast<u32>(backing_off.size()))) };
-    for (auto* instance : backing_off) {
+    auto rejecting = this->deployment.serving(service);
+    bool const all_reject = draw_below(this->back_off_random, whole_service_odds) == 0;
+    if (!all_reject && !rejecting.empty())
+        rejecting = { rejecting.at(draw_below(this->back_off_random, static_cast<u32>(rejecting.size()))) };
+    for (auto* instance : rejecting) {
         this->deployment.reject_all(*instance, draw_between(this->back_off_random, min_back_off, max_back_off));
         this->after(draw_between(this->back_off_random, min_rejection_time, max_rejection_time),
             [instance] { Deployment::accept_again(*instance); });
--- a/Tests/Soak/BackgroundFaults.h
+++ b/Tests/Soak/BackgroundFaults.h
@@ -17,8 +17,8 @@
 u32 draw_below(boost::random::mt19937&, u32 below);
 Duration draw_between(boost::random::mt19937&, Duration min, Duration max);
 
-/// Faults that recur from the start of a seed's faults to their end, beside the scheduled ones. They exempt no host
-/// from any check. Each kind has a random generator of its own, so that a seed's other faults do not depend on it.
+/// Faults that recur from the start of a seed's faults to their end, in addition to the scheduled ones. They exempt no
+/// host from any check. Each kind has a random generator of its own, so that a seed's other faults do not depend on it.
 class BackgroundFaults {
 public:
     BackgroundFaults(Http::asio::io_context&, Deployment&, u32 seed);
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -14,9 +14,10 @@
 
 namespace Soak {
 
-// The users' bound on a limit that a backend server advertises applies after the contact time and to any window of this
-// length. It counts a host from half a second after the host has relayed a response with the limit; another second
-// allows for that first response.
+// The users' bound on the requests to a backend server that advertises a limit. It applies once the contact time has
+// passed, `limit_in_force_after`, to any window of the length `limit_window`. It counts the requests of a host from
+// half a second after the host has relayed a response with the limit; `limit_known_after` allows another second for
+// that first response.
 static constexpr Duration limit_in_force_after = 3s;
 static constexpr Duration limit_window = 4s;
 static constexpr Duration limit_known_after = 1500ms;
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -25,7 +25,7 @@
     std::string domain;
     Http::tcp::endpoint callers;
     Http::tcp::endpoint readiness;
-    /// For a caller that sends bodies later than heads. It suffers no other fault.
+    /// Link of the caller that sends bodies later than heads. No other fault is injected there.
     std::unique_ptr<FaultProxy> slow_caller_link;
     std::unique_ptr<FaultProxy> platform_link;
     std::unique_ptr<DatagramProxy> peer_link;
@@ -42,7 +42,8 @@
     Instant affected_until {};
 };
 
-/// A limit that a backend server advertises, and the requests it has got since all hosts can have received it.
+/// A limit that a backend server advertises, and the requests that the server has got since all hosts can have received
+/// the limit.
 struct AdvertisedLimit {
     double per_second { 0 };
     Instant since {};
@@ -57,11 +58,12 @@
     std::string domain;
     std::unique_ptr<FaultProxy> link;
     std::unique_ptr<StandIns::PlatformRunner> runner;
-    /// When the store was updated with its leaving.
+    /// When its row in the store was set to leaving or was removed.
     std::optional<Instant> leaving_since;
     bool is_terminated { false };
     Instant terminated_at {};
-    /// Has been set to corrupt responses at some time; its next requests get these faults.
+    /// Faults of single requests have been added at some time. The server applies them to the next requests that it
+    /// gets.
     bool corrupts_responses { false };
     Instant affected_until {};
     std::optional<AdvertisedLimit> limit;
--- a/Tests/Soak/NoticeChecker.cpp
+++ b/Tests/Soak/NoticeChecker.cpp
@@ -35,9 +35,9 @@
     std::string const& server, std::string const& host, Instant sent_at, Instant now)
 {
     for (auto& back_off : this->back_offs) {
-        bool const counts = back_off.server == server && back_off.host == host && now >= back_off.at + notice_delay
-            && now < back_off.until && ++back_off.arrivals > allowed_in_back_off;
-        if (counts)
+        bool const is_violation = back_off.server == server && back_off.host == host
+            && now >= back_off.at + notice_delay && now < back_off.until && ++back_off.arrivals > allowed_in_back_off;
+        if (is_violation)
             return server + " had requested " + std::to_string(AK::to_milliseconds(back_off.until - back_off.at))
                 + " ms of back-off from " + host + " and got " + std::to_string(back_off.arrivals) + " requests";
     }
--- a/Tests/Soak/NoticeChecker.h
+++ b/Tests/Soak/NoticeChecker.h
@@ -15,7 +15,8 @@
 namespace Soak {
 
 /// Checks whether hosts comply with what backend servers request in responses to them: back-off, and no new work for a
-/// leaving server. A restarted host knows no such request; a halted one may read a response later than it arrived.
+/// leaving server. A restarted host knows nothing of earlier responses, and a halted host may read a response later
+/// than it arrived, so such responses are not checked.
 class NoticeChecker {
 public:
     /// `drain_time`: for this long after a server has reported that it leaves, hosts may still send requests to it.
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -54,7 +54,7 @@
     VERIFY(false);
 }
 
-void PromiseChecker::violation(std::string text) { this->found.push_back(std::move(text)); }
+void PromiseChecker::violation(std::string text) { this->found_violations.push_back(std::move(text)); }
 
 std::string PromiseChecker::host_of(std::string const& attempt) const
 {
--- a/Tests/Soak/PromiseChecker.h
+++ b/Tests/Soak/PromiseChecker.h
@@ -93,7 +93,7 @@
     void finish(std::map<std::string, u32> const& runs);
 
     void violation(std::string text);
-    [[nodiscard]] std::vector<std::string> const& violations() const { return this->found; }
+    [[nodiscard]] std::vector<std::string> const& violations() const { return this->found_violations; }
 
     /// Number of events of a generation, a function of its attempt id.
     static u64 planned_events(std::string const& attempt);
@@ -127,7 +127,7 @@
     std::map<std::string, std::map<std::string, Instant>> first_seen_running;
     /// Versions whose route was served, by host and incarnation of its process.
     std::map<std::pair<std::string, u32>, std::set<u64>> served_probes;
-    std::vector<std::string> found;
+    std::vector<std::string> found_violations;
 };
 
 }
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -138,7 +138,7 @@
 
     void restart_if_down(HostInstance& host)
     {
-        // A process in a planned stop exits first.
+        // A process that was killed or is in a planned stop must exit before its next start.
         this->wait_until([&] { return !host.stopping_since || !host.daemon->is_running(); }, stop_timeout,
             "the exit of " + host.name);
         this->wait_until([&] { return !host.is_exit_expected || !host.daemon->is_running(); }, stop_timeout,
