--- a/Tests/Fleet/TestColdServers.cpp
+++ b/Tests/Fleet/TestColdServers.cpp
@@ -15,10 +15,11 @@
 
 namespace {
 
-/// Requests that the operator's pages allow in any second: 1.5 times `cold_per_second`, plus five.
+/// Requests that a cold server sustains, as configured for its service.
 constexpr double cold_per_second = 25;
 /// Number of servers that return together.
 constexpr u32 rack_size = 6;
+/// Requests that the operator's pages allow in any second.
 constexpr double allowed_in_a_second = cold_per_second * 1.5 + 5;
 
 /// Hosts in virtual time that send to every cold server as often as they may, as under high load without other servers.
@@ -255,7 +256,7 @@
                 fleet.restart(*rc::gen::element(0.1, 0.5, 1.0));
                 break;
             case 1:
-                // The joining host reads the host table, and the running hosts learn of the new row.
+                // The joining host reads the host table, and the running hosts read its new row.
                 fleet.add_host();
                 fleet.read_host_table_everywhere();
                 break;
--- a/Tests/Fleet/TestFatalRequests.cpp
+++ b/Tests/Fleet/TestFatalRequests.cpp
@@ -190,7 +190,7 @@
         fleet.run(contact_time, 1h);
         fleet.send_next_now();
         fleet.run(5s, 50ms);
-        THEN("they know it before it arrives") { CHECK(fleet.late_arrival_count() == 0); }
+        THEN("they know of its quarantine before it arrives") { CHECK(fleet.late_arrival_count() == 0); }
     }
     WHEN("a third of the messages between hosts is lost, under high load")
     {
--- a/Tests/Fleet/TestOverload.cpp
+++ b/Tests/Fleet/TestOverload.cpp
@@ -10,9 +10,9 @@
 using OverloadModel::ModelPool;
 using Policy = ModelPool::Policy;
 
-static ModelPool::Outcome under_load(Policy policy, u32 hosts, double load, Duration late = 0s)
+static ModelPool::Outcome under_load(Policy policy, u32 hosts, double load, Duration extra_update_delay = 0s)
 {
-    ModelPool pool({ policy, hosts, late, 7 });
+    ModelPool pool({ policy, hosts, extra_update_delay, 7 });
     pool.run(std::min(load, 0.8), 10s);
     auto const outcome = pool.run(load, 20s);
     pool.run(load, ModelPool::max_settling_time);
--- a/Tests/Hosts/TestRateLimits.cpp
+++ b/Tests/Hosts/TestRateLimits.cpp
@@ -64,7 +64,7 @@
         servers.clear_calls();
         servers.apply_load(window);
         servers.await_responses();
-        THEN("they get no more, but requests all the time; the remaining calls are refused at once")
+        THEN("they get no more than it allows, but still get requests; the remaining calls are refused at once")
         {
             for (size_t i = 0; i < servers.runners.size(); ++i) {
                 CHECK(static_cast<double>(servers.max_in_window(i, advertised_at + contact_time, window))
--- a/Tests/Hosts/TestServersThatLeave.cpp
+++ b/Tests/Hosts/TestServersThatLeave.cpp
@@ -107,7 +107,7 @@
             CHECK(servers.late_arrival_count(0) == 0);
         }
     }
-    GIVEN("a new process under the id of a leaving one")
+    GIVEN("a process that starts later under the id of a leaving one")
     {
         servers.announce_leaving(0);
         servers.apply_load(300ms);
@@ -118,7 +118,7 @@
         servers.apply_load(300ms);
         auto const listed_at = AK::BootClock::now();
         servers.apply_load(1s);
-        THEN("the new process gets work") { CHECK(servers.arrivals_since(0, listed_at) > 0); }
+        THEN("the later process gets work") { CHECK(servers.arrivals_since(0, listed_at) > 0); }
     }
 }
 
--- a/Tests/Hosts/TestServersThatRequestBackOff.cpp
+++ b/Tests/Hosts/TestServersThatRequestBackOff.cpp
@@ -76,7 +76,7 @@
         servers.apply_load(250ms);
         servers.accept_again(0);
         servers.apply_load(2500ms);
-        THEN("calls that succeed there meanwhile do not shorten it")
+        THEN("calls that succeed there meanwhile do not shorten the back-off")
         {
             REQUIRE(servers.back_off_count() > 0);
             CHECK(servers.max_from_one_host() <= allowed_from_one_host);
--- a/Tests/Promises/TestGenerations.cpp
+++ b/Tests/Promises/TestGenerations.cpp
@@ -177,14 +177,14 @@
     WHEN("the token was altered") { CHECK(resume("toll-key", token + "0").value().status == 403); }
 }
 
-SCENARIO("the router that owns a pool dies under load")
+SCENARIO("the router that owns a pool terminates under load")
 {
     TestFleet fleet;
-    auto dead = fleet.owner();
+    auto killed_router = fleet.owner();
     auto results = fleet.generate(20, 120, [&] {
         wait_until("tokens to flow", [&] { return has_produced_token(*fleet.engines[0]); });
-        fleet.kill_router(dead);
-        wait_until("another owner", [&] { return fleet.owner() == 1 - dead; });
+        fleet.kill_router(killed_router);
+        wait_until("another owner", [&] { return fleet.owner() == 1 - killed_router; });
         auto more = fleet.generate(4, 10);
         CHECK(count_outcome(more, "completed") == 4);
     });
--- a/Tests/Promises/TestLeaving.cpp
+++ b/Tests/Promises/TestLeaving.cpp
@@ -49,7 +49,7 @@
 SCENARIO("an engine turns a request away because it is leaving, before anyone has heard of it")
 {
     TestFleet fleet;
-    // Both routers learn of leaving only by their load polls, which the requests race.
+    // Both routers notice only at their next load polls that the engine leaves; the requests race with the polls.
     fleet.engines[0]->control("leave", {});
     auto results = fleet.generate(6, 10);
     CHECK(std::ranges::all_of(results, [](auto const& result) { return result.outcome == "completed"; }));
--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -264,16 +264,16 @@
 
 void TestFleet::publish_backend_servers()
 {
-    std::vector<Platform::BackendServerRecord> hosts;
+    std::vector<Platform::BackendServerRecord> servers;
     for (size_t i = 0; i < this->engines.size(); ++i)
-        hosts.push_back({ EngineId("engine-" + std::to_string(i)), this->engines[i]->address(),
+        servers.push_back({ EngineId("engine-" + std::to_string(i)), this->engines[i]->address(),
             FailureDomainId(failure_domain), ModelId("writer"), ServiceName(), TokenCount(this->size.engine_capacity),
             Platform::BackendServerState::Live, true });
     for (size_t i = 0; i < this->services.size(); ++i)
-        hosts.push_back(
+        servers.push_back(
             { EngineId("service-" + std::to_string(i)), this->services[i]->address(), FailureDomainId(failure_domain),
                 ModelId(), ServiceName("till"), TokenCount(0), Platform::BackendServerState::Live, true });
-    this->platform->set_hosts(Platform::format_backend_servers(hosts));
+    this->platform->set_hosts(Platform::format_backend_servers(servers));
 }
 
 CallerClient TestFleet::caller(std::string const& key) const
