--- a/Libraries/LibAccount/LogLine.cpp
+++ b/Libraries/LibAccount/LogLine.cpp
@@ -35,12 +35,12 @@
 {
     while (text.ends_with(' '))
         text.remove_suffix(1);
-    auto blank = text.find_last_of(' ');
-    return blank == std::string_view::npos ? text : text.substr(blank + 1);
+    auto space = text.find_last_of(' ');
+    return space == std::string_view::npos ? text : text.substr(space + 1);
 }
 
-/// Takes a value off the front of `rest`: up to the next blank, or between quotes with their escapes undone.
-static std::optional<std::string> take_value(std::string_view& rest)
+/// Removes a value from the front of `rest` and returns it: the text up to the next space, or a quoted text, unescaped.
+static std::optional<std::string> parse_value(std::string_view& rest)
 {
     if (!rest.starts_with('"')) {
         auto end = std::min(rest.find(' '), rest.size());
@@ -62,9 +62,9 @@
     return {};
 }
 
-/// Fills in the keys and values of `rest`; the event's name stands among them without a value. False when a quote has
-/// no end.
-static bool take_values(std::string_view rest, std::map<std::string, std::string>& values)
+/// Adds the keys and values of `rest` to `values`. Skips words without a value, such as the name of the event. Returns
+/// false if a quote is not closed.
+static bool parse_values(std::string_view rest, std::map<std::string, std::string>& values)
 {
     while (!rest.empty()) {
         if (rest.front() == ' ') {
@@ -78,7 +78,7 @@
         }
         std::string key(rest.substr(0, key_end));
         rest.remove_prefix(key_end + 1);
-        auto value = take_value(rest);
+        auto value = parse_value(rest);
         if (!value)
             return false;
         values[key] = std::move(*value);
@@ -94,7 +94,7 @@
         return std::optional<LogLine> {};
     LogLine line;
     line.host = last_word(text.substr(0, begin));
-    if (!take_values(text.substr(begin), line.values))
+    if (!parse_values(text.substr(begin), line.values))
         return Error { ErrorKind::InvalidRequest, "a quote without an end; was the line cut?", {} };
     auto milliseconds = parse_number<u64>(line.text("ms"));
     auto number = parse_number<u32>(std::string_view(line.values["event"]).substr(1));
--- a/Libraries/LibAccount/RequestAccount.cpp
+++ b/Libraries/LibAccount/RequestAccount.cpp
@@ -28,116 +28,116 @@
         return "failed_by_server";
     case Outcome::Failed:
         return "failed";
-    case Outcome::BrokenOff:
+    case Outcome::Interrupted:
         return "broken_off";
-    case Outcome::CallerLeft:
+    case Outcome::CallerDisconnected:
         return "caller_left";
-    case Outcome::HostEnded:
+    case Outcome::HostTerminated:
         return "host_ended";
     }
     VERIFY(false);
 }
 
-static void end(RequestStory& story, LogLine const& line, Outcome outcome, std::string reason = {})
+static void end(RequestTrace& trace, LogLine const& line, Outcome outcome, std::string reason = {})
 {
-    story.outcome = outcome;
-    story.ended_at = line.milliseconds;
-    story.reason = std::move(reason);
+    trace.outcome = outcome;
+    trace.ended_at = line.milliseconds;
+    trace.reason = std::move(reason);
 }
 
-/// Of a value that one line has and its goal, both in milliseconds; goals that the log does not tell are kept.
+/// Whether a value exceeds its goal, both in milliseconds. A goal that the log does not have counts as met.
 static bool is_over(std::optional<i64> value, std::optional<i64> goal) { return value && goal && *value > *goal; }
 
-static void end_generation(RequestStory& story, LogLine const& line)
+static void end_generation(RequestTrace& trace, LogLine const& line)
 {
     if (line.text("how") != "complete")
-        return end(story, line, Outcome::BrokenOff, line.text("how") + line.text("status"));
-    auto goal = story.lines.front().number("goal_ms");
-    for (auto const& earlier : story.lines) {
+        return end(trace, line, Outcome::Interrupted, line.text("how") + line.text("status"));
+    auto goal = trace.lines.front().number("goal_ms");
+    for (auto const& earlier : trace.lines) {
         if (earlier.event == EventNumber::FirstTokenDelivered && is_over(earlier.number("waited_ms"), goal))
-            return end(story, line, Outcome::Late, "first event after " + earlier.text("waited_ms") + " ms");
+            return end(trace, line, Outcome::Late, "first event after " + earlier.text("waited_ms") + " ms");
     }
     if (!is_over(line.number("longest_gap_ms"), line.number("pause_goal_ms")))
-        return end(story, line, Outcome::InTime);
-    bool const was_moved = std::ranges::any_of(story.lines, [&](LogLine const& earlier) {
+        return end(trace, line, Outcome::InTime);
+    bool const was_moved = std::ranges::any_of(trace.lines, [&](LogLine const& earlier) {
         return earlier.event == EventNumber::GenerationMoved
             && is_over(earlier.number("paused_ms"), line.number("pause_goal_ms"));
     });
-    end(story, line, Outcome::Late, was_moved ? "pause of a move" : "pause without a move");
+    end(trace, line, Outcome::Late, was_moved ? "pause of a move" : "pause without a move");
 }
 
-static void end_call(RequestStory& story, LogLine const& line)
+static void end_call(RequestTrace& trace, LogLine const& line)
 {
     if (line.number("status").value_or(0) >= first_server_error)
-        return end(story, line, Outcome::FailedByServer, "status " + line.text("status"));
-    bool const is_late = is_over(line.number("held_ms"), story.lines.front().number("goal_ms"));
-    end(story, line, is_late ? Outcome::Late : Outcome::InTime,
+        return end(trace, line, Outcome::FailedByServer, "status " + line.text("status"));
+    bool const is_late = is_over(line.number("held_ms"), trace.lines.front().number("goal_ms"));
+    end(trace, line, is_late ? Outcome::Late : Outcome::InTime,
         is_late ? "answered by try " + line.text("tries") : std::string {});
 }
 
-static void end_by_own_answer(RequestStory& story, LogLine const& line)
+static void end_with_host_response(RequestTrace& trace, LogLine const& line)
 {
     auto status = line.number("status").value_or(0);
     bool const may_have_run = status == bad_gateway || status == gateway_timeout;
-    end(story, line, may_have_run ? Outcome::Failed : Outcome::Refused, line.text("reason"));
+    end(trace, line, may_have_run ? Outcome::Failed : Outcome::Refused, line.text("reason"));
 }
 
-static void take_end(RequestStory& story, LogLine const& line)
+static void apply_end(RequestTrace& trace, LogLine const& line)
 {
     switch (line.event) {
     case EventNumber::StreamEnded:
-        return end_generation(story, line);
+        return end_generation(trace, line);
     case EventNumber::ServiceCallEnded:
-        return end_call(story, line);
+        return end_call(trace, line);
     case EventNumber::RequestRefused:
-        return end_by_own_answer(story, line);
+        return end_with_host_response(trace, line);
     case EventNumber::StreamFailed:
-        return end(story, line, Outcome::BrokenOff, line.text("reason"));
+        return end(trace, line, Outcome::Interrupted, line.text("reason"));
     case EventNumber::CallerLeft:
-        return end(story, line, Outcome::CallerLeft);
+        return end(trace, line, Outcome::CallerDisconnected);
     default:
         return;
     }
 }
 
-void RequestAccount::take(LogLine line)
+void RequestAccount::add(LogLine line)
 {
     if (line.event == EventNumber::RequestReceived) {
         this->index_of_id[line.subject] = this->requests.size();
-        RequestStory story;
-        story.id = line.subject;
-        story.host = line.host;
-        story.route = line.text("route");
-        story.received_at = line.milliseconds;
-        story.reason = "its host's log ends before it";
-        this->requests.push_back(std::move(story));
+        RequestTrace trace;
+        trace.id = line.subject;
+        trace.host = line.host;
+        trace.route = line.text("route");
+        trace.received_at = line.milliseconds;
+        trace.reason = "its host's log ends before it";
+        this->requests.push_back(std::move(trace));
     }
     auto found = this->index_of_id.find(line.subject);
     if (found == this->index_of_id.end())
         return;
-    auto& story = this->requests[found->second];
-    story.is_generation = story.is_generation || line.event == EventNumber::GenerationPlaced;
-    story.lines.push_back(line);
-    take_end(story, line);
+    auto& trace = this->requests[found->second];
+    trace.is_generation = trace.is_generation || line.event == EventNumber::GenerationPlaced;
+    trace.lines.push_back(line);
+    apply_end(trace, line);
 }
 
-std::vector<RequestStory> RequestAccount::stories() const
+std::vector<RequestTrace> RequestAccount::traces() const
 {
     auto sorted = this->requests;
-    std::ranges::stable_sort(sorted, {}, &RequestStory::received_at);
+    std::ranges::stable_sort(sorted, {}, &RequestTrace::received_at);
     return sorted;
 }
 
-std::vector<Row> count_by_time(std::vector<RequestStory> const& stories, u64 span_milliseconds)
+std::vector<Row> count_by_time(std::vector<RequestTrace> const& traces, u64 span_milliseconds)
 {
     std::map<std::pair<u64, std::string>, Row> rows;
-    for (auto const& story : stories) {
-        auto since_first = story.received_at - stories.front().received_at;
+    for (auto const& trace : traces) {
+        auto since_first = trace.received_at - traces.front().received_at;
         auto from = since_first / span_milliseconds * span_milliseconds;
-        auto& row = rows[{ from, story.route }];
+        auto& row = rows[{ from, trace.route }];
         row.from = from;
-        row.route = story.route;
-        ++row.counts[static_cast<size_t>(story.outcome)];
+        row.route = trace.route;
+        ++row.counts[static_cast<size_t>(trace.outcome)];
     }
     std::vector<Row> all;
     all.reserve(rows.size());
--- a/Libraries/LibConfiguration/Configuration.cpp
+++ b/Libraries/LibConfiguration/Configuration.cpp
@@ -9,10 +9,10 @@
 
 namespace Configuration {
 
-static constexpr size_t longest_name = 128;
+static constexpr size_t max_name_length = 128;
 static constexpr size_t key_hash_digits = 64;
-static constexpr size_t resume_keys_kept = 4;
-static constexpr size_t smallest_secret_digits = 32;
+static constexpr size_t max_resume_keys = 4;
+static constexpr size_t min_secret_digits = 32;
 
 static Error invalid(std::string message) { return { ErrorKind::InvalidRequest, std::move(message), {} }; }
 
@@ -25,7 +25,7 @@
 static Result<void> validate_name(std::string const& what, std::string const& name)
 {
     constexpr auto allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
-    if (!name.empty() && name.size() <= longest_name && name.find_first_not_of(allowed) == std::string::npos)
+    if (!name.empty() && name.size() <= max_name_length && name.find_first_not_of(allowed) == std::string::npos)
         return success();
     return invalid(what + " '" + name + "' is not a name; use 1 to 128 letters, digits, '-', '_' or '.'");
 }
@@ -117,7 +117,7 @@
 static Result<void> validate_resume_key(wire::ResumeKey const& key)
 {
     TRYV(validate_name("resume key", key.id()));
-    if (key.secret_hexadecimal().size() < smallest_secret_digits || key.secret_hexadecimal().size() % 2 != 0
+    if (key.secret_hexadecimal().size() < min_secret_digits || key.secret_hexadecimal().size() % 2 != 0
         || !is_lower_hexadecimal(key.secret_hexadecimal()))
         return invalid("a resume key's secret must be at least 32 lower-case hexadecimal digits, an even number");
     return success();
@@ -178,7 +178,7 @@
 {
     std::erase_if(this->resume_keys, [&](auto const& other) { return other.id() == key.id(); });
     this->resume_keys.push_back(key);
-    if (this->resume_keys.size() > resume_keys_kept)
+    if (this->resume_keys.size() > max_resume_keys)
         this->resume_keys.erase(this->resume_keys.begin());
 }
 
@@ -224,7 +224,7 @@
             this->draining.erase(EngineId(change.drain().id()));
         break;
     case wire::Change::CHANGE_NOT_SET:
-        // A newer version wrote a kind of change that this one does not know: it still counts as a revision.
+        // The change was written by a newer version and is unknown to this one. It still counts as a revision.
         break;
     }
     this->current_revision = Revision(entry.revision());
--- a/Libraries/LibConfiguration/ConfigurationFollower.cpp
+++ b/Libraries/LibConfiguration/ConfigurationFollower.cpp
@@ -8,7 +8,7 @@
 
 namespace Configuration {
 
-bool ConfigurationFollower::offer(std::span<wire::LogEntry const> entries)
+bool ConfigurationFollower::apply(std::span<wire::LogEntry const> entries)
 {
     auto before = this->current.revision();
     for (auto const& entry : entries) {
@@ -16,13 +16,13 @@
             continue;
         this->current.apply(entry);
         this->recent.push_back(entry);
-        if (this->recent.size() > kept_entries)
+        if (this->recent.size() > max_recent_entries)
             this->recent.pop_front();
     }
     return this->current.revision() > before;
 }
 
-bool ConfigurationFollower::offer(wire::ConfigurationSnapshot const& snapshot)
+bool ConfigurationFollower::apply(wire::ConfigurationSnapshot const& snapshot)
 {
     if (Revision(snapshot.revision()) <= this->current.revision())
         return false;
@@ -31,21 +31,21 @@
     return true;
 }
 
-wire::ConfigurationEntries ConfigurationFollower::answer(Revision revision) const
+wire::ConfigurationEntries ConfigurationFollower::entries_after(Revision revision) const
 {
-    wire::ConfigurationEntries answer;
+    wire::ConfigurationEntries response;
     if (revision >= this->current.revision())
-        return answer;
+        return response;
     auto is_covered = !this->recent.empty() && this->recent.front().revision() <= revision.value() + 1;
     if (!is_covered) {
-        *answer.mutable_snapshot() = this->current.snapshot();
-        return answer;
+        *response.mutable_snapshot() = this->current.snapshot();
+        return response;
     }
     for (auto const& entry : this->recent) {
         if (entry.revision() > revision.value())
-            *answer.add_entries() = entry;
+            *response.add_entries() = entry;
     }
-    return answer;
+    return response;
 }
 
 }
--- a/Libraries/LibConfiguration/ConfigurationFollower.h
+++ b/Libraries/LibConfiguration/ConfigurationFollower.h
@@ -12,22 +12,23 @@
 
 namespace Configuration {
 
-/// This process's copy of the configuration, fed by the table and by peers. It only moves forward. Keeps the newest
-/// entries for peers that are a little behind. Loop thread only.
+/// This process's replica of the configuration, updated from the platform's table and by peers. Its revision never
+/// decreases. Keeps the newest entries for peers that are a few revisions behind. Only for the event loop thread.
 class ConfigurationFollower {
 public:
-    /// Takes in what follows the current revision and passes over the rest. Says whether the revision moved.
-    bool offer(std::span<wire::LogEntry const> entries);
-    /// Takes in a snapshot newer than the current revision. Says whether the revision moved.
-    bool offer(wire::ConfigurationSnapshot const&);
-    /// What a peer at `revision` needs: the entries after it, or a snapshot.
-    [[nodiscard]] wire::ConfigurationEntries answer(Revision revision) const;
+    /// Applies the entries that follow the current revision and ignores the others. Returns whether the revision
+    /// changed.
+    bool apply(std::span<wire::LogEntry const> entries);
+    /// Applies a snapshot if it is newer than the current revision. Returns whether the revision changed.
+    bool apply(wire::ConfigurationSnapshot const&);
+    /// Returns what a peer at `revision` is missing: the entries after it, or a snapshot if they are no longer kept.
+    [[nodiscard]] wire::ConfigurationEntries entries_after(Revision revision) const;
 
     [[nodiscard]] Document const& document() const { return this->current; }
     [[nodiscard]] Revision revision() const { return this->current.revision(); }
 
 private:
-    static constexpr size_t kept_entries = 256;
+    static constexpr size_t max_recent_entries = 256;
 
     Document current;
     std::deque<wire::LogEntry> recent;
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -12,8 +12,8 @@
 
 namespace Core {
 
-/// The number of each event that a process writes to its log and its time line. docs/EVENTS.md explains each; a
-/// test holds the two together. Numbers are never used again for another meaning.
+/// Numbers of the events that a process writes to its log and its timeline. docs/EVENTS.md describes each event, and a
+/// test checks that the page matches this list. The number of a removed event is never reused.
 enum class EventNumber : u32 {
     ProcessStarted = 1001,
     ProcessReady = 1002,
@@ -28,7 +28,7 @@
     MemberLost = 1103,
     MemberReplaced = 1104,
     FailureDomainSilent = 1105,
-    FailureDomainHeard = 1106,
+    FailureDomainReachable = 1106,
     RevisionInForce = 1201,
     ChangeAccepted = 1202,
     ChangeRefused = 1203,
@@ -60,13 +60,13 @@
     BackendServerChanged = 2306,
     BackendServerGone = 2307,
     BackendServerSuspected = 2308,
-    ServicesOutOfReach = 2309,
+    ServicesUnreachable = 2309,
     DomainEvacuated = 2310,
-    DomainEvacuationTakenBack = 2311,
-    BackendServerBrokeOff = 2312,
+    DomainEvacuationRevoked = 2311,
+    BackendServerDisconnected = 2312,
     ServerLimitChanged = 2313,
-    ServerAskedForBackOff = 2314,
-    ServerSaidItLeaves = 2315,
+    ServerRequestedBackOff = 2314,
+    ServerAnnouncedLeaving = 2315,
     ServiceCallDispatched = 2401,
     ServiceCallEnded = 2402,
     ClaimRefused = 2403,
@@ -74,7 +74,7 @@
     CallerLeft = 2405,
     CallerConnectionClosed = 2406,
     RepeatDecided = 2407,
-    RequestHeldBack = 2408,
+    RequestQuarantined = 2408,
     RequestReleased = 2409,
     LeaseTaken = 2501,
     LeaseLapsed = 2502,
--- a/Libraries/LibEngineModel/EngineModel.cpp
+++ b/Libraries/LibEngineModel/EngineModel.cpp
@@ -35,7 +35,7 @@
     return this->parameters.capacity_tokens / this->parameters.block_tokens - this->used_blocks - this->cached_blocks;
 }
 
-bool Engine::make_room(i64 blocks, std::vector<StepEvent>& events)
+bool Engine::evict_prefixes_for(i64 blocks, std::vector<StepEvent>& events)
 {
     while (this->free_blocks() < blocks && !this->cached_prefixes.empty()) {
         auto [hash, held] = this->cached_prefixes.front();
@@ -48,17 +48,17 @@
 
 void Engine::admit_waiting(std::vector<StepEvent>& events)
 {
-    // Preempted ones come first, since callers are reading them; then by priority, then by arrival.
+    // Preempted generations come first, since callers are already reading them, then by priority, then by arrival.
     std::ranges::stable_sort(this->waiting, [](Sequence const& left, Sequence const& right) {
         auto rank = [](Sequence const& sequence) {
             return std::tuple(sequence.produced == 0, -sequence.request.priority, sequence.arrival);
         };
         return rank(left) < rank(right);
     });
-    while (!this->waiting.empty() && this->running.size() < this->parameters.largest_batch) {
+    while (!this->waiting.empty() && this->running.size() < this->parameters.max_batch_size) {
         auto& next = this->waiting.front();
         auto needed = this->blocks_for(next.request.prompt_tokens + next.produced + 1);
-        if (!this->make_room(needed, events))
+        if (!this->evict_prefixes_for(needed, events))
             return;
         auto is_cached = std::ranges::any_of(
             this->cached_prefixes, [&](auto const& entry) { return entry.first == next.request.prefix_hash; });
@@ -92,21 +92,21 @@
     this->waiting.push_back(victim);
 }
 
-void Engine::grow_running(std::vector<StepEvent>& events)
+void Engine::allocate_for_running(std::vector<StepEvent>& events)
 {
     for (size_t i = 0; i < this->running.size();) {
         auto needed = this->blocks_for(this->running[i].request.prompt_tokens + this->running[i].produced + 1);
-        auto more = needed - this->running[i].blocks;
-        if (more > 0 && !this->make_room(more, events) && this->running.size() > 1) {
+        auto missing = needed - this->running[i].blocks;
+        if (missing > 0 && !this->evict_prefixes_for(missing, events) && this->running.size() > 1) {
             auto victim = this->victim_position();
             this->preempt(victim, events);
-            // Positions after the victim moved up; the same sequence is looked at again.
+            // Later positions have shifted down by one. The loop looks at the same sequence again.
             if (victim < i)
                 --i;
             continue;
         }
-        this->running[i].blocks += std::max<i64>(more, 0);
-        this->used_blocks += std::max<i64>(more, 0);
+        this->running[i].blocks += std::max<i64>(missing, 0);
+        this->used_blocks += std::max<i64>(missing, 0);
         ++i;
     }
 }
@@ -116,7 +116,7 @@
     auto budget = this->parameters.prefill_tokens_per_step;
     for (auto& sequence : this->running) {
         auto wanted = sequence.request.prompt_tokens + sequence.produced - sequence.computed;
-        // The last computed token is the one that decoding works on.
+        // The last token is computed by the decode itself.
         if (wanted <= 1 && sequence.produced > 0)
             continue;
         auto taken = std::min(budget, wanted);
@@ -128,7 +128,7 @@
     return this->parameters.prefill_tokens_per_step - budget;
 }
 
-void Engine::remember_prefix(Sequence const& sequence, std::vector<StepEvent>& events)
+void Engine::cache_prefix(Sequence const& sequence, std::vector<StepEvent>& events)
 {
     auto hash = sequence.request.prefix_hash;
     if (hash == 0)
@@ -165,15 +165,15 @@
         }
         events.push_back({ StepEventKind::Finished, sequence.request.key, sequence.produced });
         this->used_blocks -= sequence.blocks;
-        this->remember_prefix(sequence, events);
+        this->cache_prefix(sequence, events);
         this->running.erase(this->running.begin() + static_cast<std::ptrdiff_t>(i));
     }
 }
 
 Duration Engine::step(std::vector<StepEvent>& events)
 {
-    this->grow_running(events);
-    // Nothing new in a step that had to preempt: it would only be the next victim.
+    this->allocate_for_running(events);
+    // Admits nothing in a step that had to preempt, since a new generation would be the next victim.
     auto has_preempted
         = std::ranges::any_of(events, [](StepEvent const& event) { return event.kind == StepEventKind::Preempted; });
     if (!has_preempted)
--- a/Libraries/LibGateway/CallerFrontend.cpp
+++ b/Libraries/LibGateway/CallerFrontend.cpp
@@ -5,8 +5,8 @@
  */
 
 #include <LibGateway/CallerFrontend.h>
-#include <LibGateway/GenerationEdge.h>
-#include <LibGateway/ServiceEdge.h>
+#include <LibGateway/GenerationSession.h>
+#include <LibGateway/ServiceCallSession.h>
 #include <Poco/Net/Context.h>
 #include <Poco/Net/HTTPRequestHandler.h>
 #include <Poco/Net/HTTPRequestHandlerFactory.h>
@@ -26,20 +26,20 @@
 static constexpr int spare_threads = 64;
 static constexpr int thread_stack_bytes = 256 * 1024;
 static constexpr long caller_timeout_seconds = 10;
-static constexpr size_t longest_idempotency_key = 256;
+static constexpr size_t max_idempotency_key_bytes = 256;
 
 static Result<std::string> read_body(HTTPServerRequest& request)
 {
     auto too_large = Error { ErrorKind::BodyTooLarge,
-        "the body is larger than " + std::to_string(largest_request_bytes) + " bytes; send less", {} };
-    if (request.hasContentLength() && request.getContentLength64() > static_cast<i64>(largest_request_bytes))
+        "the body is larger than " + std::to_string(max_request_bytes) + " bytes; send less", {} };
+    if (request.hasContentLength() && request.getContentLength64() > static_cast<i64>(max_request_bytes))
         return too_large;
     std::string body;
     char buffer[16384];
     auto& stream = request.stream();
     while (stream.read(buffer, sizeof(buffer)) || stream.gcount() > 0) {
         body.append(buffer, static_cast<size_t>(stream.gcount()));
-        if (body.size() > largest_request_bytes)
+        if (body.size() > max_request_bytes)
             return too_large;
     }
     if (request.hasContentLength() && static_cast<i64>(body.size()) != request.getContentLength64())
@@ -49,7 +49,7 @@
 
 static u64 now_seconds() { return Core::SystemClock().wall_milliseconds() / 1000; }
 
-/// What the handlers of all paths share.
+/// State shared by the handlers of all paths.
 struct Frontend {
     GatewayLoop& gateway;
     GatewaySettings const& settings;
@@ -70,14 +70,14 @@
         if (served)
             served = this->serve(request, response);
         if (!served) {
-            // The rest of a body that was not read must not pass for the next request.
+            // An unread rest of the body must not be parsed as the next request.
             response.setKeepAlive(false);
             send_error(response, served.error(), Delivery::Outcome::NotRun);
         }
     }
 
 protected:
-    /// Serves the request, or returns an error found before anything was done.
+    /// Serves the request, or returns an error if the request was rejected before any work was done.
     virtual Result<void> serve(HTTPServerRequest&, HTTPServerResponse&) = 0;
 
     Frontend frontend;
@@ -86,7 +86,7 @@
     Result<void> check_load()
     {
         auto open = static_cast<i64>(this->frontend.gateway.open_count());
-        if (open < this->frontend.settings.largest_open_calls)
+        if (open < this->frontend.settings.max_open_calls)
             return success();
         return Error { ErrorKind::Overloaded, "this host has too many open requests; come back after the time given",
             1s };
@@ -108,7 +108,7 @@
         TRY(auto deadline, parse_deadline(request.get("Lilactiller-Deadline-Milliseconds", "")));
         TRY(auto body, read_body(request));
         TRY(auto parsed, parse_generation_request(this->shape, body));
-        auto call = std::make_shared<EdgeCall>();
+        auto call = std::make_shared<GenerationCall>();
         call->generation = this->frontend.gateway.new_generation_id();
         call->request = std::move(parsed);
         call->request.api_key = std::move(api_key);
@@ -116,7 +116,7 @@
         CallerWriter writer(
             response, { call->generation, call->request.route, this->shape, now_seconds() }, call->request.stream);
         writer.set_header("Lilactiller-Generation", call->generation.value());
-        GenerationEdge(this->frontend.gateway, this->frontend.settings, writer).serve(call);
+        GenerationSession(this->frontend.gateway, this->frontend.settings, writer).serve(call);
         return success();
     }
 
@@ -157,7 +157,7 @@
             return refused->error;
         auto const& token = std::get<Delivery::ResumeToken>(*decision);
         CallerWriter writer(response, { token.generation, token.route, ApiShape::Completion, now_seconds() }, true);
-        GenerationEdge(this->frontend.gateway, this->frontend.settings, writer).serve_resumed(*call, token);
+        GenerationSession(this->frontend.gateway, this->frontend.settings, writer).serve_resumed(*call, token);
         return success();
     }
 };
@@ -182,11 +182,11 @@
         call->method = request.getMethod();
         call->content_type = request.getContentType();
         call->idempotency_key = request.get("Idempotency-Key", "");
-        if (call->idempotency_key.size() > longest_idempotency_key)
+        if (call->idempotency_key.size() > max_idempotency_key_bytes)
             return Error { ErrorKind::InvalidRequest, "the Idempotency-Key is longer than 256 bytes; shorten it", {} };
         TRY(call->body, read_body(request));
         response.set("Lilactiller-Call", call->id);
-        ServiceEdge(this->frontend.gateway, this->frontend.settings).serve(call, response);
+        ServiceCallSession(this->frontend.gateway, this->frontend.settings).serve(call, response);
         return success();
     }
 };
@@ -269,11 +269,11 @@
 }
 
 CallerFrontend::CallerFrontend(GatewayLoop& gateway, GatewaySettings const& settings)
-    : threads(2, static_cast<int>(settings.largest_open_calls) + spare_threads, 60, thread_stack_bytes)
+    : threads(2, static_cast<int>(settings.max_open_calls) + spare_threads, 60, thread_stack_bytes)
     , socket(make_socket(settings))
 {
     auto* parameters = new Poco::Net::HTTPServerParams;
-    parameters->setMaxThreads(static_cast<int>(settings.largest_open_calls) + spare_threads);
+    parameters->setMaxThreads(static_cast<int>(settings.max_open_calls) + spare_threads);
     parameters->setMaxQueued(listen_backlog);
     parameters->setTimeout(Poco::Timespan(caller_timeout_seconds, 0));
     parameters->setKeepAliveTimeout(Poco::Timespan(caller_timeout_seconds, 0));
@@ -291,7 +291,7 @@
 void CallerFrontend::stop_accepting()
 {
     this->server->stop();
-    // Open but not served, it would go on taking connections that nobody answers; closed, it refuses them.
+    // An open socket without a server would still accept connections, but never respond. A closed one refuses them.
     this->socket.close();
 }
 
--- a/Libraries/LibGateway/CallerProtocol.cpp
+++ b/Libraries/LibGateway/CallerProtocol.cpp
@@ -19,8 +19,8 @@
 
 static constexpr size_t prefix_bytes = 256;
 static constexpr size_t bytes_per_token = 4;
-static constexpr u64 largest_deadline_milliseconds = 24ull * 60 * 60 * 1000;
-static constexpr int deepest_json = 32;
+static constexpr u64 max_deadline_milliseconds = 24ull * 60 * 60 * 1000;
+static constexpr int max_json_depth = 32;
 
 static Error invalid(std::string message) { return { ErrorKind::InvalidRequest, std::move(message), {} }; }
 
@@ -31,7 +31,7 @@
     return out.str();
 }
 
-/// The text of all messages, one a line with its role, which is what the engines take as a prompt.
+/// Joins all messages into the prompt for the engine, one line per message with its role.
 static Result<std::string> join_messages(Object const& object)
 {
     auto messages = object.getArray("messages");
@@ -91,7 +91,7 @@
 {
     try {
         Poco::JSON::Parser parser;
-        parser.setDepth(deepest_json);
+        parser.setDepth(max_json_depth);
         auto value = parser.parse(body);
         if (value.type() != typeid(Object::Ptr))
             return invalid("the body must be a JSON object");
@@ -110,7 +110,7 @@
     u64 milliseconds = 0;
     auto [end, error] = std::from_chars(header.data(), header.data() + header.size(), milliseconds);
     if (error != std::errc() || end != header.data() + header.size() || milliseconds == 0
-        || milliseconds > largest_deadline_milliseconds)
+        || milliseconds > max_deadline_milliseconds)
         return invalid("Lilactiller-Deadline-Milliseconds must be a whole number from 1 to 86400000");
     return std::optional<Duration>(std::chrono::milliseconds(milliseconds));
 }
@@ -166,7 +166,7 @@
     case ErrorKind::PeerUnavailable:
     case ErrorKind::NotReady:
     case ErrorKind::HistoryLost:
-    case ErrorKind::RequestHeld:
+    case ErrorKind::RequestQuarantined:
         return 503;
     }
     return 500;
@@ -208,10 +208,10 @@
 {
     auto object = envelope(identity, true);
     set_choice(object, identity, text, true, false);
-    Object own;
-    own.set("offset", static_cast<Poco::UInt64>(offset));
-    own.set("attempt", attempt.value());
-    object.set("lilactiller", own);
+    Object extension;
+    extension.set("offset", static_cast<Poco::UInt64>(offset));
+    extension.set("attempt", attempt.value());
+    object.set("lilactiller", extension);
     return to_text(object);
 }
 
@@ -222,11 +222,11 @@
     return usage;
 }
 
-static Object completed()
+static Object completed_extension()
 {
-    Object own;
-    own.set("outcome", std::string(Delivery::to_string(Delivery::Outcome::Completed)));
-    return own;
+    Object extension;
+    extension.set("outcome", std::string(Delivery::to_string(Delivery::Outcome::Completed)));
+    return extension;
 }
 
 std::string format_stream_end(StreamIdentity const& identity, u64 token_count)
@@ -234,16 +234,16 @@
     auto object = envelope(identity, true);
     set_choice(object, identity, "", true, true);
     object.set("usage", usage(token_count));
-    object.set("lilactiller", completed());
+    object.set("lilactiller", completed_extension());
     return to_text(object);
 }
 
-std::string format_whole_answer(StreamIdentity const& identity, std::string const& text, u64 token_count)
+std::string format_complete_response(StreamIdentity const& identity, std::string const& text, u64 token_count)
 {
     auto object = envelope(identity, false);
     set_choice(object, identity, text, false, true);
     object.set("usage", usage(token_count));
-    object.set("lilactiller", completed());
+    object.set("lilactiller", completed_extension());
     return to_text(object);
 }
 
@@ -254,13 +254,13 @@
     detail.set("message", error.message);
     if (error.retry_after)
         detail.set("retry_after_milliseconds", static_cast<Poco::Int64>(AK::to_milliseconds(*error.retry_after)));
-    Object own;
-    own.set("outcome", std::string(Delivery::to_string(outcome)));
+    Object extension;
+    extension.set("outcome", std::string(Delivery::to_string(outcome)));
     if (next_offset)
-        own.set("next_offset", static_cast<Poco::UInt64>(*next_offset));
+        extension.set("next_offset", static_cast<Poco::UInt64>(*next_offset));
     Object object;
     object.set("error", detail);
-    object.set("lilactiller", own);
+    object.set("lilactiller", extension);
     return to_text(object);
 }
 
--- a/Libraries/LibGateway/GatewayLoop.cpp
+++ b/Libraries/LibGateway/GatewayLoop.cpp
@@ -14,13 +14,13 @@
 using Core::EventNumber;
 
 static constexpr Duration tick_period = 100ms;
-// A router answers at once or queues; after this long the question is asked again in case it was lost.
-static constexpr Duration ask_again_after = 1s;
-// A router that did not answer is passed over for so long; by then gossip knows whether it is gone.
+// A router responds or queues the request at once. After this time the request is resent, in case it was lost.
+static constexpr Duration resend_after = 1s;
+// Time for which an unresponsive router is avoided. By its end, gossip has established whether the router is gone.
 static constexpr Duration suspicion = 15s;
 static constexpr u32 default_deadline_milliseconds = 10'000;
 static constexpr u64 default_maximum_output_tokens = 65'536;
-static constexpr size_t most_excluded_engines = 8;
+static constexpr size_t max_excluded_engines = 8;
 
 static Instant now() { return AK::BootClock::now(); }
 
@@ -35,7 +35,7 @@
     : node(node)
     , settings(settings)
     , accounts(node)
-    , service_desk(node, this->accounts, this->open_calls)
+    , service_call_handler(node, this->accounts, this->open_calls)
     , random(std::random_device {}())
 {
     this->id_prefix = "gen-" + random_hexadecimal(this->random()) + '-';
@@ -53,13 +53,13 @@
 
 // Generations
 
-void GatewayLoop::post_begin(std::shared_ptr<EdgeCall> call)
+void GatewayLoop::post_begin(std::shared_ptr<GenerationCall> call)
 {
     ++this->open_calls;
     this->node.loop().post([this, call = std::move(call)] { this->begin(call); });
 }
 
-void GatewayLoop::begin(std::shared_ptr<EdgeCall> call)
+void GatewayLoop::begin(std::shared_ptr<GenerationCall> call)
 {
     auto refuse_early = [&](Error error) {
         --this->open_calls;
@@ -103,7 +103,7 @@
     this->node.events().record(
         EventNumber::RequestReceived, call->generation.value(), "route " + row.route.value(), organisation_id);
     auto& stored = this->generations[call->generation] = std::move(row);
-    this->ask_router(stored);
+    this->request_placement(stored);
 }
 
 wire::PlaceRequest GatewayLoop::place_request(GenerationRow const& row) const
@@ -122,12 +122,12 @@
     return request;
 }
 
-void GatewayLoop::ask_router(GenerationRow& row)
+void GatewayLoop::request_placement(GenerationRow& row)
 {
-    row.state = RowState::AskedRouter;
-    row.asked_at = now();
+    row.state = RowState::WaitingForRouter;
+    row.requested_at = now();
     row.is_queued = false;
-    auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspects());
+    auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspected_routers());
     if (!owner)
         owner = this->node.owner_of("pool/" + row.model.value());
     if (!owner) {
@@ -135,7 +135,7 @@
             row, { ErrorKind::PeerUnavailable, "no router is reachable from this host; try again at another one", 2s });
         return;
     }
-    row.asked = owner->id;
+    row.router = owner->id;
     wire::Envelope envelope;
     *envelope.mutable_place_request() = this->place_request(row);
     this->node.send(owner->address, std::move(envelope));
@@ -158,7 +158,7 @@
         this->receive_place_reply(envelope.place_reply(), Address(envelope.sender_address()));
         return;
     case wire::Envelope::kClaimReply:
-        this->service_desk.receive(envelope.claim_reply());
+        this->service_call_handler.receive(envelope.claim_reply());
         return;
     default:
         return;
@@ -178,14 +178,14 @@
 void GatewayLoop::receive_place_reply(wire::PlaceReply const& reply, Address const& sender)
 {
     auto found = this->generations.find(GenerationId(reply.generation()));
-    auto is_awaited = found != this->generations.end() && found->second.state == RowState::AskedRouter
+    auto is_awaited = found != this->generations.end() && found->second.state == RowState::WaitingForRouter
         && found->second.attempt == AttemptNumber(reply.attempt());
     if (!is_awaited) {
-        // A late answer: the place it holds on the engine is given back, unless it is the one that was taken.
-        auto is_the_taken_one = found != this->generations.end()
+        // A late reply. The placement that it reserves is released, unless it is the one in use.
+        auto is_current_placement = found != this->generations.end()
             && found->second.attempt == AttemptNumber(reply.attempt())
             && found->second.engine == EngineId(reply.engine());
-        if (reply.engine().empty() || is_the_taken_one)
+        if (reply.engine().empty() || is_current_placement)
             return;
         wire::Envelope envelope;
         auto* finished = envelope.mutable_finished();
@@ -220,14 +220,15 @@
     row.call->decisions.put(std::move(admitted));
 }
 
-void GatewayLoop::post_try_again(std::shared_ptr<EdgeCall> call, EngineId failed_engine, StreamFailure failure)
+void GatewayLoop::post_retry(std::shared_ptr<GenerationCall> call, EngineId failed_engine, StreamFailure failure)
 {
     this->node.loop().post([this, call = std::move(call), failed_engine = std::move(failed_engine), failure] {
-        this->try_again(call, failed_engine, failure);
+        this->retry(call, failed_engine, failure);
     });
 }
 
-void GatewayLoop::try_again(std::shared_ptr<EdgeCall> const& call, EngineId const& failed_engine, StreamFailure failure)
+void GatewayLoop::retry(
+    std::shared_ptr<GenerationCall> const& call, EngineId const& failed_engine, StreamFailure failure)
 {
     auto found = this->generations.find(call->generation);
     if (found == this->generations.end())
@@ -240,10 +241,10 @@
     finished->set_generation(call->generation.value());
     finished->set_attempt(row.attempt.value());
     finished->set_reason(wire::FINISH_NOT_STARTED);
-    this->tell_owner(row, std::move(envelope));
+    this->notify_owner(row, std::move(envelope));
 
     row.excluded.insert(failed_engine);
-    if (now() >= row.deadline || row.excluded.size() > most_excluded_engines
+    if (now() >= row.deadline || row.excluded.size() > max_excluded_engines
         || !this->accounts.spend_retry(row.organisation)) {
         this->refuse(row,
             { ErrorKind::NoBackendServer,
@@ -254,10 +255,10 @@
     row.engine = {};
     this->node.events().record(EventNumber::PlacementRepeated, call->generation.value(),
         "attempt " + std::to_string(row.attempt.value()) + " after " + failed_engine.value(), row.organisation);
-    this->ask_router(row);
+    this->request_placement(row);
 }
 
-std::set<MemberId> GatewayLoop::suspects()
+std::set<MemberId> GatewayLoop::suspected_routers()
 {
     std::erase_if(this->suspected_until, [](auto const& entry) { return entry.second <= now(); });
     std::set<MemberId> current;
@@ -268,28 +269,28 @@
 
 void GatewayLoop::check_waiting(GenerationRow& row)
 {
-    auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspects());
-    auto owner_moved = owner && owner->id != row.asked;
+    auto const* owner = this->node.owner_of("pool/" + row.model.value(), this->suspected_routers());
+    auto owner_moved = owner && owner->id != row.router;
     if (now() >= row.deadline) {
         this->refuse(row,
             { ErrorKind::DeadlineUnreachable, "no engine was found before the deadline; come back after the time given",
                 2s });
         return;
     }
-    auto is_overdue = now() - row.asked_at > ask_again_after;
+    auto is_overdue = now() - row.requested_at > resend_after;
     if (is_overdue && !row.is_queued)
-        this->suspected_until[row.asked] = now() + suspicion;
+        this->suspected_until[row.router] = now() + suspicion;
     if (owner_moved || is_overdue)
-        this->ask_router(row);
+        this->request_placement(row);
 }
 
-void GatewayLoop::tell_owner(GenerationRow const& row, wire::Envelope envelope)
+void GatewayLoop::notify_owner(GenerationRow const& row, wire::Envelope envelope)
 {
     auto const* owner = this->node.owner_of("pool/" + row.model.value());
-    auto const* asked = this->node.members().find(row.asked);
-    // Both may hold a row for it while ownership moves.
-    if (asked && (!owner || asked->id != owner->id))
-        this->node.send(asked->address, envelope);
+    auto const* router = this->node.members().find(row.router);
+    // While ownership moves, both routers may hold a row for the generation.
+    if (router && (!owner || router->id != owner->id))
+        this->node.send(router->address, envelope);
     if (owner)
         this->node.send(owner->address, std::move(envelope));
 }
@@ -303,7 +304,7 @@
         wire::Envelope envelope;
         envelope.mutable_started()->set_generation(generation.value());
         envelope.mutable_started()->set_attempt(found->second.attempt.value());
-        this->tell_owner(found->second, std::move(envelope));
+        this->notify_owner(found->second, std::move(envelope));
         this->node.events().record(EventNumber::FirstTokenDelivered, generation.value(),
             "from " + found->second.engine.value(), found->second.organisation);
     });
@@ -322,7 +323,7 @@
         finished->set_attempt(found->second.attempt.value());
         finished->set_reason(reason);
         finished->set_output_tokens(static_cast<u32>(token_count));
-        this->tell_owner(found->second, std::move(envelope));
+        this->notify_owner(found->second, std::move(envelope));
         auto number = reason == wire::FINISH_FAILED ? EventNumber::StreamFailed : EventNumber::StreamEnded;
         this->node.events().record(number, generation.value(), text, found->second.organisation);
         this->generations.erase(found);
@@ -330,12 +331,12 @@
     });
 }
 
-void GatewayLoop::post_caller_gone(EngineSource const& source, u64 token_count)
+void GatewayLoop::post_caller_disconnected(EngineSource const& source, u64 token_count)
 {
     auto cancel = [this, source, token_count] {
         this->node.background().submit(
-            [source, patience = this->settings.connect_patience] {
-                cancel_on_engine(source.address, source.generation, source.attempt, source.attachment, patience);
+            [source, timeout = this->settings.connect_timeout] {
+                cancel_on_engine(source.address, source.generation, source.attempt, source.attachment, timeout);
                 return true;
             },
             [this, source, token_count](bool) {
@@ -347,24 +348,24 @@
 
 void GatewayLoop::members_changed()
 {
-    for (auto const& [model, owner] : std::map(this->told_owners)) {
+    for (auto const& [model, owner] : std::map(this->notified_owners)) {
         auto const* current = this->node.owner_of("pool/" + model.value());
         if (current && current->id == owner)
             continue;
-        this->told_owners.erase(model);
+        this->notified_owners.erase(model);
     }
-    this->tell_owners_of_live_generations();
+    this->announce_live_generations();
 }
 
-void GatewayLoop::tell_owners_of_live_generations()
+void GatewayLoop::announce_live_generations()
 {
-    std::map<ModelId, wire::Envelope> news;
+    std::map<ModelId, wire::Envelope> messages;
     for (auto& [id, row] : this->generations) {
-        if (this->told_owners.contains(row.model))
+        if (this->notified_owners.contains(row.model))
             continue;
-        if (row.state == RowState::AskedRouter)
+        if (row.state == RowState::WaitingForRouter)
             continue;
-        auto* live = news[row.model].mutable_live_generations()->add_generations();
+        auto* live = messages[row.model].mutable_live_generations()->add_generations();
         live->set_generation(id.value());
         live->set_attempt(row.attempt.value());
         live->set_organisation(row.organisation.value());
@@ -374,9 +375,9 @@
         live->set_engine(row.engine.value());
         live->set_maximum_output_tokens(static_cast<u32>(row.maximum_output_tokens));
     }
-    for (auto& [model, envelope] : news) {
+    for (auto& [model, envelope] : messages) {
         if (auto const* owner = this->node.owner_of("pool/" + model.value())) {
-            this->told_owners[model] = owner->id;
+            this->notified_owners[model] = owner->id;
             this->node.send(owner->address, std::move(envelope));
         }
     }
@@ -386,18 +387,18 @@
 {
     std::vector<GenerationId> due;
     for (auto const& [id, row] : this->generations) {
-        if (row.state == RowState::AskedRouter)
+        if (row.state == RowState::WaitingForRouter)
             due.push_back(id);
-        else if (!this->told_owners.contains(row.model)) {
-            // The owner that placed it knows it.
+        else if (!this->notified_owners.contains(row.model)) {
+            // The owner that placed the generation already knows it.
             if (auto const* owner = this->node.owner_of("pool/" + row.model.value()))
-                this->told_owners[row.model] = owner->id;
+                this->notified_owners[row.model] = owner->id;
         }
     }
     for (auto const& id : due) {
         this->check_waiting(this->generations[id]);
     }
-    this->service_desk.tick();
+    this->service_call_handler.tick();
     this->node.metrics().set("lilac_open_generations", static_cast<double>(this->generations.size()));
 }
 
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -10,26 +10,28 @@
 
 namespace Gateway {
 
-/// The settings under "gateway", beside those of the node.
+/// The settings under "gateway", and those of the node.
 struct GatewaySettings {
     Node::NodeSettings node;
-    /// Where callers connect.
+    /// Address that callers connect to.
     Address listen;
-    /// PEM files; callers speak TLS when both are set.
+    /// PEM files. Callers must use TLS if both are set.
     std::string tls_certificate;
     std::string tls_private_key;
-    /// An engine from which nothing comes for so long, not even a keep-alive, is asked again from the last token.
+    /// Maximum time without any data from an engine, including keep-alives. After it, the stream is resumed at the last
+    /// token.
     Duration stall_limit { 2s };
-    /// How long a broken stream is tried to be resumed before the caller is told that it is lost.
-    Duration resume_patience { 5s };
-    /// How long connecting to a backend server may take.
-    Duration connect_patience { 1s };
-    /// Requests open at once; more are refused at once.
-    i64 largest_open_calls { 512 };
+    /// Time for which resuming a broken stream is attempted before the caller gets an error.
+    Duration resume_timeout { 5s };
+    /// Timeout of connecting to a backend server.
+    Duration connect_timeout { 1s };
+    /// Maximum number of concurrently open requests. Further ones are refused immediately.
+    i64 max_open_calls { 512 };
     Duration resume_token_lifetime { 5min };
-    /// A generation whose caller went away runs on for so long, should the caller resume it.
+    /// Time for which a generation continues after its caller has disconnected, so that the caller can resume it.
     Duration resume_grace { 5s };
-    /// After a planned stop begins, new requests are still served for so long, until the balancer has noticed.
+    /// Time for which new requests are still served after a planned stop begins, until the load balancer has noticed
+    /// it.
     Duration balancer_lag { 3s };
 };
 
@@ -41,10 +43,9 @@
     settings.tls_certificate = reader.text_or("gateway.tls_certificate", "");
     settings.tls_private_key = reader.text_or("gateway.tls_private_key", "");
     settings.stall_limit = reader.duration_or("gateway.stall_limit", settings.stall_limit);
-    settings.resume_patience = reader.duration_or("gateway.resume_patience", settings.resume_patience);
-    settings.connect_patience = reader.duration_or("gateway.connect_patience", settings.connect_patience);
-    settings.largest_open_calls
-        = reader.whole_number_or("gateway.largest_open_calls", settings.largest_open_calls, 1, 10'000);
+    settings.resume_timeout = reader.duration_or("gateway.resume_patience", settings.resume_timeout);
+    settings.connect_timeout = reader.duration_or("gateway.connect_patience", settings.connect_timeout);
+    settings.max_open_calls = reader.whole_number_or("gateway.largest_open_calls", settings.max_open_calls, 1, 10'000);
     settings.resume_token_lifetime
         = reader.duration_or("gateway.resume_token_lifetime", settings.resume_token_lifetime);
     settings.resume_grace = reader.duration_or("gateway.resume_grace", settings.resume_grace);
--- a/Libraries/LibGateway/ServiceDesk.cpp
+++ b/Libraries/LibGateway/ServiceCallHandler.cpp
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibGateway/ServiceDesk.h>
+#include <LibGateway/ServiceCallHandler.h>
 #include <algorithm>
 #include <vector>
 
@@ -12,19 +12,19 @@
 
 using Core::EventNumber;
 
-// A claim is written with others after a short wait; after this long the question is asked again.
-static constexpr Duration ask_again_after = 1s;
+// Claims are written in batches after a short wait. After this time the request is resent.
+static constexpr Duration resend_after = 1s;
 
 static Instant now() { return AK::BootClock::now(); }
 
-ServiceDesk::ServiceDesk(Node::Node& node, Accounts& accounts, std::atomic<size_t>& open_calls)
+ServiceCallHandler::ServiceCallHandler(Node::Node& node, Accounts& accounts, std::atomic<size_t>& open_calls)
     : node(node)
     , accounts(accounts)
     , open_calls(open_calls)
 {
 }
 
-void ServiceDesk::post_call(std::shared_ptr<ServiceCall> call)
+void ServiceCallHandler::post_call(std::shared_ptr<ServiceCall> call)
 {
     ++this->open_calls;
     this->node.loop().post([this, call = std::move(call)] { this->begin(call); });
@@ -36,7 +36,7 @@
         service.repeatable_paths(), [&](auto const& prefix) { return path.starts_with(prefix); });
 }
 
-void ServiceDesk::begin(std::shared_ptr<ServiceCall> call)
+void ServiceCallHandler::begin(std::shared_ptr<ServiceCall> call)
 {
     auto decided = [&]() -> Result<ServiceRow> {
         if (!this->node.is_ready())
@@ -66,13 +66,13 @@
         return;
     }
     row.nonce = call->id;
-    this->ask_for_claim(row);
+    this->request_claim(row);
 }
 
-void ServiceDesk::ask_for_claim(ServiceRow& row)
+void ServiceCallHandler::request_claim(ServiceRow& row)
 {
     row.waits_for_claim = true;
-    row.asked_at = now();
+    row.requested_at = now();
     auto const* owner = this->node.owner_of("claims");
     if (!owner)
         return;
@@ -84,7 +84,7 @@
     this->node.send(owner->address, std::move(envelope));
 }
 
-void ServiceDesk::receive(wire::ClaimReply const& reply)
+void ServiceCallHandler::receive(wire::ClaimReply const& reply)
 {
     auto found = this->calls.find(reply.nonce());
     if (found == this->calls.end() || !found->second.waits_for_claim)
@@ -110,7 +110,7 @@
     }
 }
 
-Platform::BackendServerRecord const* ServiceDesk::choose_server(ServiceRow const& row)
+Platform::BackendServerRecord const* ServiceCallHandler::choose_server(ServiceRow const& row)
 {
     Platform::BackendServerRecord const* best = nullptr;
     for (auto const& server : this->node.backend_servers()) {
@@ -123,7 +123,7 @@
     return best;
 }
 
-void ServiceDesk::dispatch(ServiceRow& row)
+void ServiceCallHandler::dispatch(ServiceRow& row)
 {
     auto const* server = this->choose_server(row);
     if (!server) {
@@ -139,10 +139,10 @@
     row.call->decisions.put(ServiceAdmitted { server->id, server->address, row.organisation, row.is_repeatable });
 }
 
-void ServiceDesk::release_claim(ServiceRow const& row)
+void ServiceCallHandler::release_claim(ServiceRow const& row)
 {
     auto const* owner = this->node.owner_of("claims");
-    // Also a claim of which nothing was heard: it may have been made. Only its own nonce can release it.
+    // Also releases a claim without a reply, since it may have been made. Only its own nonce can release a claim.
     if (row.nonce.empty() || !owner)
         return;
     wire::Envelope envelope;
@@ -153,7 +153,7 @@
     this->node.send(owner->address, std::move(envelope));
 }
 
-void ServiceDesk::refuse(ServiceRow const& row, Error error)
+void ServiceCallHandler::refuse(ServiceRow const& row, Error error)
 {
     auto call = row.call;
     this->release_claim(row);
@@ -162,7 +162,7 @@
     call->decisions.put(Refused { std::move(error) });
 }
 
-void ServiceDesk::post_again(std::shared_ptr<ServiceCall> call, EngineId failed_server)
+void ServiceCallHandler::post_retry(std::shared_ptr<ServiceCall> call, EngineId failed_server)
 {
     this->node.loop().post([this, call = std::move(call), failed_server = std::move(failed_server)] {
         auto found = this->calls.find(call->id);
@@ -181,7 +181,8 @@
     });
 }
 
-void ServiceDesk::post_ended(std::shared_ptr<ServiceCall> call, Delivery::Outcome outcome, std::string const& text)
+void ServiceCallHandler::post_ended(
+    std::shared_ptr<ServiceCall> call, Delivery::Outcome outcome, std::string const& text)
 {
     this->node.loop().post([this, call = std::move(call), outcome, text] {
         auto found = this->calls.find(call->id);
@@ -198,7 +199,7 @@
     });
 }
 
-void ServiceDesk::tick()
+void ServiceCallHandler::tick()
 {
     std::vector<std::string> waiting;
     for (auto const& [id, row] : this->calls) {
@@ -211,8 +212,8 @@
             this->refuse(row,
                 { ErrorKind::PlatformUnavailable,
                     "the claim on this idempotency key could not be made before the deadline; come back later", 5s });
-        else if (now() - row.asked_at > ask_again_after)
-            this->ask_for_claim(row);
+        else if (now() - row.requested_at > resend_after)
+            this->request_claim(row);
     }
 }
 
--- a/Libraries/LibGateway/ServiceDesk.h
+++ b/Libraries/LibGateway/ServiceCallHandler.h
@@ -8,7 +8,7 @@
 
 #include <LibDelivery/Outcome.h>
 #include <LibGateway/Accounts.h>
-#include <LibGateway/EdgeCall.h>
+#include <LibGateway/GenerationCall.h>
 #include <LibNode/Node.h>
 #include <atomic>
 #include <map>
@@ -18,20 +18,20 @@
 
 namespace Gateway {
 
-/// The gateway's plain-service calls: claims their idempotency keys and chooses their servers. Runs on the node's loop;
-/// the functions named post_* may be called from any thread.
-class ServiceDesk {
+/// Handles the gateway's plain-service calls: claims their idempotency keys and chooses their backend servers. Runs on
+/// the node's event loop; the post_* functions may be called on any thread.
+class ServiceCallHandler {
 public:
-    /// `open_calls` counts the requests of the whole gateway that have not had their final answer.
-    ServiceDesk(Node::Node&, Accounts&, std::atomic<size_t>& open_calls);
+    /// `open_calls` is the number of requests of the entire gateway without a final response.
+    ServiceCallHandler(Node::Node&, Accounts&, std::atomic<size_t>& open_calls);
 
     void post_call(std::shared_ptr<ServiceCall>);
-    /// Another try of a call that is known not to have run, or that may be repeated.
-    void post_again(std::shared_ptr<ServiceCall>, EngineId failed_server);
+    /// Retries a call that is known not to have run, or that is repeatable.
+    void post_retry(std::shared_ptr<ServiceCall>, EngineId failed_server);
     void post_ended(std::shared_ptr<ServiceCall>, Delivery::Outcome, std::string const& text);
 
     void receive(wire::ClaimReply const&);
-    /// Asks again for claims of which nothing was heard, and refuses those past their deadline.
+    /// Resends claim requests without a reply, and refuses calls that have passed their deadline.
     void tick();
 
 private:
@@ -43,13 +43,13 @@
         std::string nonce;
         bool waits_for_claim { false };
         Instant deadline;
-        Instant asked_at;
+        Instant requested_at;
         std::set<EngineId> failed_servers;
         EngineId server;
     };
 
     void begin(std::shared_ptr<ServiceCall>);
-    void ask_for_claim(ServiceRow&);
+    void request_claim(ServiceRow&);
     void dispatch(ServiceRow&);
     void refuse(ServiceRow const&, Error);
     [[nodiscard]] Platform::BackendServerRecord const* choose_server(ServiceRow const&);
--- a/Libraries/LibHistory/History.cpp
+++ b/Libraries/LibHistory/History.cpp
@@ -150,17 +150,17 @@
     return found;
 }
 
-std::vector<Violation> check_forward_only(Record const& record)
+std::vector<Violation> check_revisions_monotonic(Record const& record)
 {
     std::map<std::pair<std::string, u64>, u64> last;
     std::vector<Violation> found;
-    for (auto const& seen : record.revisions) {
-        auto& previous = last[{ seen.member, seen.incarnation }];
-        if (seen.revision < previous)
+    for (auto const& observed : record.revisions) {
+        auto& previous = last[{ observed.member, observed.incarnation }];
+        if (observed.revision < previous)
             found.push_back({ "never reverts",
-                seen.member + " went from revision " + std::to_string(previous) + " back to "
-                    + std::to_string(seen.revision) });
-        previous = std::max(previous, seen.revision);
+                observed.member + " went from revision " + std::to_string(previous) + " back to "
+                    + std::to_string(observed.revision) });
+        previous = std::max(previous, observed.revision);
     }
     return found;
 }
@@ -168,7 +168,7 @@
 std::vector<Violation> check_all(Record const& record)
 {
     std::vector<Violation> all;
-    for (auto check : { check_delivery, check_not_run, check_at_most_once, check_forward_only }) {
+    for (auto check : { check_delivery, check_not_run, check_at_most_once, check_revisions_monotonic }) {
         auto found = check(record);
         all.insert(all.end(), found.begin(), found.end());
     }
--- a/Libraries/LibHttp/BackendConnection.cpp
+++ b/Libraries/LibHttp/BackendConnection.cpp
@@ -12,17 +12,18 @@
 
 namespace Http {
 
-/// A kept connection is used again within this time unless the peer names a shorter one. Backend servers close idle
-/// connections after some seconds; a request that crosses the close may or may not have run.
+/// A persistent connection is reused for at most this long after the head of its last response, or less if the peer
+/// advertises a shorter time. Backend servers close idle connections after a few seconds. A request sent while the peer
+/// closes the connection may or may not have run.
 static constexpr Duration default_idle_limit = 1500ms;
-/// Taken off the time that a peer names in Keep-Alive, for the way there and its rounding.
+/// Subtracted from the peer's Keep-Alive timeout, which is in whole seconds, to allow for network delay and rounding.
 static constexpr Duration idle_limit_margin = 500ms;
-/// Stands before the seconds in Keep-Alive.
+/// The parameter of the Keep-Alive field that holds the idle timeout in seconds.
 static constexpr std::string_view idle_limit_parameter = "timeout=";
-/// Largest answer body that is taken: larger ones would not fit a host's memory beside others.
-static constexpr u64 largest_answer_bytes = 16 << 20;
-/// Bounds what a faulty peer can make this host keep.
-static constexpr u32 largest_answer_head_bytes = 64 << 10;
+/// Maximum size of a response body. Larger ones would not fit into a host's memory beside others.
+static constexpr u64 max_response_bytes = 16 << 20;
+/// Maximum size of a response head. Limits the memory that a faulty peer can use on this host.
+static constexpr u32 max_response_head_bytes = 64 << 10;
 
 std::string_view to_string(ExchangeEnd end)
 {
@@ -31,7 +32,7 @@
         return "complete";
     case ExchangeEnd::NotConnected:
         return "not_connected";
-    case ExchangeEnd::NoAnswer:
+    case ExchangeEnd::NoResponse:
         return "no_answer";
     case ExchangeEnd::Truncated:
         return "truncated";
@@ -52,33 +53,33 @@
 
 bool BackendConnection::is_reusable()
 {
-    if (!this->connected || this->in_exchange || !this->answer_allows_reuse)
+    if (!this->connected || this->in_exchange || !this->response_allows_reuse)
         return false;
     if (AK::BootClock::now() >= this->idle_until)
         return false;
-    // Bytes that nobody asked for, or the peer's close, make the connection useless.
+    // Unsolicited bytes or a close by the peer make the connection unusable.
     return peek(this->socket) == Readable::Nothing;
 }
 
 void BackendConnection::exchange(
-    Request new_request, ExchangeObserver new_observer, Duration connect_patience, Duration silence_limit)
+    Request new_request, ExchangeObserver new_observer, Duration connect_timeout, Duration silence_limit)
 {
     VERIFY(!this->in_exchange);
     this->in_exchange = true;
     this->request_written = false;
-    this->answer_allows_reuse = false;
+    this->response_allows_reuse = false;
     this->request = std::move(new_request);
     this->observer = std::make_shared<ExchangeObserver>(std::move(new_observer));
     ++this->exchange_number;
     if (this->connected)
         return this->send();
-    this->connect(connect_patience, silence_limit);
+    this->connect(connect_timeout, silence_limit);
 }
 
-void BackendConnection::connect(Duration patience, Duration silence_limit)
+void BackendConnection::connect(Duration timeout, Duration silence_limit)
 {
     auto number = this->exchange_number;
-    this->connect_timer.expires_after(patience);
+    this->connect_timer.expires_after(timeout);
     this->connect_timer.async_wait([self = shared_from_this(), number](beast::error_code error) {
         if (!error && number == self->exchange_number && self->in_exchange && !self->connected)
             self->fail(ExchangeEnd::NotConnected, asio::error::timed_out);
@@ -93,7 +94,7 @@
             self->connected = true;
             boost::system::error_code ignored;
             self->socket.set_option(tcp::no_delay(true), ignored);
-            bound_silence(self->socket, silence_limit);
+            set_peer_timeout(self->socket, silence_limit);
             self->send();
         });
 }
@@ -104,7 +105,7 @@
     this->serializer.emplace(this->request);
     beast::http::async_write(
         this->socket, *this->serializer, [self = shared_from_this(), number](beast::error_code error, size_t) {
-            // A failed write shows in the read as well, which may still hold an answer.
+            // A failed write also makes the read fail, unless the peer sent a response before.
             if (number == self->exchange_number && !error)
                 self->request_written = true;
         });
@@ -116,34 +117,34 @@
     auto number = this->exchange_number;
     this->parser.emplace();
     this->parser->eager(true);
-    this->parser->body_limit(largest_answer_bytes);
-    this->parser->header_limit(largest_answer_head_bytes);
+    this->parser->body_limit(max_response_bytes);
+    this->parser->header_limit(max_response_head_bytes);
     beast::http::async_read_header(this->socket, this->buffer, *this->parser,
         [self = shared_from_this(), number](beast::error_code error, size_t) {
             if (number == self->exchange_number && self->in_exchange)
-                self->head_arrived(error);
+                self->handle_head(error);
         });
 }
 
-void BackendConnection::head_arrived(beast::error_code error)
+void BackendConnection::handle_head(beast::error_code error)
 {
     if (error)
-        return this->fail(is_malformed(error) ? ExchangeEnd::Malformed : ExchangeEnd::NoAnswer, error);
+        return this->fail(is_malformed(error) ? ExchangeEnd::Malformed : ExchangeEnd::NoResponse, error);
     auto number = this->exchange_number;
     auto current = this->observer;
-    // An informational answer (100 to 199) is followed by the real one.
+    // An informational response (100 to 199) is followed by the final one.
     auto const& head = this->parser->get();
     constexpr unsigned first_final_status = 200;
     bool const is_informational = head.result_int() < first_final_status;
-    this->skipping = is_informational || current->head(head) == HeadVerdict::Skip;
+    this->skipping = is_informational || current->head(head) == HeadAction::Skip;
     if (number != this->exchange_number || !this->in_exchange)
         return;
-    this->note_idle_limit(this->parser->get());
+    this->record_idle_limit(this->parser->get());
     this->read_body();
 }
 
-/// The idle time that the peer names in Keep-Alive, if it does.
-static std::optional<Duration> named_idle_limit(ResponseHead const& head)
+/// Returns the idle timeout that the peer advertises in Keep-Alive, if any.
+static std::optional<Duration> parse_idle_timeout(ResponseHead const& head)
 {
     std::string_view const text(head[Name::keep_alive].data(), head[Name::keep_alive].size());
     auto position = text.find(idle_limit_parameter);
@@ -157,40 +158,40 @@
     return std::chrono::seconds(seconds);
 }
 
-void BackendConnection::note_idle_limit(ResponseHead const& head)
+void BackendConnection::record_idle_limit(ResponseHead const& head)
 {
     auto limit = default_idle_limit;
-    if (auto named = named_idle_limit(head))
-        limit = std::min<Duration>(limit, std::max<Duration>(0s, *named - idle_limit_margin));
+    if (auto advertised = parse_idle_timeout(head))
+        limit = std::min<Duration>(limit, std::max<Duration>(0s, *advertised - idle_limit_margin));
     this->idle_until = AK::BootClock::now() + limit;
 }
 
 void BackendConnection::read_body()
 {
     auto number = this->exchange_number;
-    this->pass_on_body();
+    this->forward_body();
     if (number != this->exchange_number || !this->in_exchange)
         return;
     if (this->parser->is_done())
-        return this->answer_complete();
+        return this->finish_response();
     beast::http::async_read_some(this->socket, this->buffer, *this->parser,
         [self = shared_from_this(), number](beast::error_code error, size_t) {
             if (number == self->exchange_number && self->in_exchange)
-                self->body_arrived(error);
+                self->handle_body(error);
         });
 }
 
-void BackendConnection::body_arrived(beast::error_code error)
+void BackendConnection::handle_body(beast::error_code error)
 {
     if (!error)
         return this->read_body();
     auto number = this->exchange_number;
-    this->pass_on_body();
+    this->forward_body();
     if (number == this->exchange_number && this->in_exchange)
         this->fail(ExchangeEnd::Truncated, error);
 }
 
-void BackendConnection::pass_on_body()
+void BackendConnection::forward_body()
 {
     auto& body = this->parser->get().body();
     if (body.empty())
@@ -201,12 +202,13 @@
         current->body(piece);
 }
 
-void BackendConnection::answer_complete()
+void BackendConnection::finish_response()
 {
     if (this->skipping)
         return this->read_head();
-    // An answer that came before the request was all sent leaves the peer waiting for the rest of it.
-    this->answer_allows_reuse = this->request_written && this->buffer.size() == 0 && this->parser->get().keep_alive()
+    // After a response that arrived before the whole request was sent, the peer still waits for the rest of the
+    // request.
+    this->response_allows_reuse = this->request_written && this->buffer.size() == 0 && this->parser->get().keep_alive()
         && !this->parser->need_eof();
     this->finish(ExchangeEnd::Complete, {});
 }
@@ -220,10 +222,10 @@
 void BackendConnection::finish(ExchangeEnd end, std::string const& reason)
 {
     this->in_exchange = false;
-    this->rests_since = AK::BootClock::now();
-    if (!this->answer_allows_reuse)
+    this->idle_since = AK::BootClock::now();
+    if (!this->response_allows_reuse)
         this->close();
-    // The observer may hold what keeps this connection alive.
+    // The observer may hold the last reference to this connection, so it is moved out of the member first.
     auto last = std::exchange(this->observer, nullptr);
     last->ended(end, reason);
 }
@@ -232,7 +234,7 @@
 {
     ++this->exchange_number;
     this->in_exchange = false;
-    this->answer_allows_reuse = false;
+    this->response_allows_reuse = false;
     this->close();
     this->observer = nullptr;
 }
--- a/Libraries/LibHttp/CallerConnection.cpp
+++ b/Libraries/LibHttp/CallerConnection.cpp
@@ -16,24 +16,25 @@
 
 using HttpError = beast::http::error;
 
-/// A caller whose host has acknowledged nothing for this long is cut off or has no power.
+/// A caller whose host has acknowledged nothing for this long is unreachable or has lost power.
 static constexpr Duration caller_silence_limit = 10s;
-/// How often the end of a connection is looked for that has unread bytes in front of it. Work for a caller that has
-/// left must end within half a second.
-static constexpr Duration leaving_check_period = 200ms;
-/// Callers are told to use a kept connection again no later than this before it is closed as idle, so that no request
-/// crosses the close. Longer than the way of a request from another region (12 ms) and its repeats on a lossy link.
-static constexpr Duration idle_promise_margin = 1s;
+/// How often a connection with unread bytes is checked for a close by the caller. Work for a disconnected caller must
+/// end within half a second.
+static constexpr Duration disconnect_check_period = 200ms;
+/// Subtracted from the idle timeout that is advertised to callers, so that no request is sent while this side closes
+/// the connection. Longer than the delay of a request from another region (12 ms) and its retransmissions on a lossy
+/// link.
+static constexpr Duration keep_alive_margin = 1s;
 
 CallerConnection::CallerConnection(tcp::socket socket, std::shared_ptr<CallerContext> context)
     : socket(std::move(socket))
     , timer(this->socket.get_executor())
     , context(std::move(context))
-    , idle_patience(this->context->limits.idle_timeout)
+    , advertised_idle_timeout(this->context->limits.idle_timeout)
 {
     boost::system::error_code ignored;
     this->socket.set_option(tcp::no_delay(true), ignored);
-    bound_silence(this->socket, caller_silence_limit);
+    set_peer_timeout(this->socket, caller_silence_limit);
 }
 
 CallerConnection::~CallerConnection() { this->enter(ConnectionPhase::Closed); }
@@ -46,15 +47,15 @@
     this->phase_began = AK::BootClock::now();
 }
 
-void CallerConnection::set_timer(Duration patience, void (CallerConnection::*overdue)())
+void CallerConnection::set_timer(Duration timeout, void (CallerConnection::*on_expiry)())
 {
     auto const set_in = this->phase;
-    this->timer.expires_after(patience);
-    this->timer.async_wait([self = shared_from_this(), set_in, overdue](beast::error_code error) {
-        // A wait that was over already when the timer was cancelled or set anew still ends without an error.
+    this->timer.expires_after(timeout);
+    this->timer.async_wait([self = shared_from_this(), set_in, on_expiry](beast::error_code error) {
+        // A wait that had already expired when the timer was cancelled or reset still completes without an error.
         bool const is_current = self->phase == set_in && AK::BootClock::now() >= self->timer.expiry();
         if (!error && is_current)
-            (self.get()->*overdue)();
+            (self.get()->*on_expiry)();
     });
 }
 
@@ -63,7 +64,7 @@
     this->enter(ConnectionPhase::BetweenRequests);
     if (this->buffer.size() > 0)
         return this->read_head();
-    this->set_timer(this->idle_patience, &CallerConnection::idle_too_long);
+    this->set_timer(this->advertised_idle_timeout, &CallerConnection::handle_idle_timeout);
     this->watch_socket();
 }
 
@@ -75,36 +76,36 @@
     this->socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](beast::error_code error) {
         self->watching = false;
         if (!error)
-            self->became_readable();
+            self->handle_readable();
     });
 }
 
-void CallerConnection::became_readable()
+void CallerConnection::handle_readable()
 {
-    if (this->phase != ConnectionPhase::BetweenRequests && this->phase != ConnectionPhase::Answering)
+    if (this->phase != ConnectionPhase::BetweenRequests && this->phase != ConnectionPhase::Responding)
         return;
-    // A wait may also end by an event of a closed socket whose place in the reactor this one has taken.
+    // A wait may also complete through a queued event of a closed socket whose reactor entry this socket reuses.
     auto readable = peek(this->socket);
     if (readable == Readable::Nothing)
         return this->watch_socket();
     if (readable == Readable::End)
-        return this->close(CloseReason::EndedByCaller);
+        return this->close(CloseReason::ClosedByCaller);
     if (this->phase == ConnectionPhase::BetweenRequests)
         return this->read_head();
-    // The bytes are of a further request, which is read later. They hide the connection's end from the wait.
-    this->set_timer(leaving_check_period, &CallerConnection::look_for_leaving);
+    // The bytes belong to the next request, which is read later. A wait for readability cannot see a close behind them.
+    this->set_timer(disconnect_check_period, &CallerConnection::check_for_disconnect);
 }
 
-void CallerConnection::look_for_leaving()
+void CallerConnection::check_for_disconnect()
 {
     if (peer_has_closed(this->socket))
-        return this->close(CloseReason::EndedByCaller);
-    this->set_timer(leaving_check_period, &CallerConnection::look_for_leaving);
+        return this->close(CloseReason::ClosedByCaller);
+    this->set_timer(disconnect_check_period, &CallerConnection::check_for_disconnect);
 }
 
-void CallerConnection::idle_too_long()
+void CallerConnection::handle_idle_timeout()
 {
-    // Bytes that came in time are read in a later turn of the loop.
+    // Bytes that arrived in time are read in a later event loop iteration.
     if (peek(this->socket) != Readable::Bytes)
         this->close(CloseReason::Idle);
 }
@@ -121,24 +122,24 @@
     this->parser.emplace();
     this->parser->header_limit(this->context->limits.header_bytes);
     this->parser->body_limit(this->context->limits.body_bytes);
-    this->set_timer(this->context->limits.header_timeout, &CallerConnection::head_too_slow);
+    this->set_timer(this->context->limits.header_timeout, &CallerConnection::handle_head_timeout);
     beast::http::async_read_header(this->socket, this->buffer, *this->parser,
-        [self = shared_from_this()](beast::error_code error, size_t) { self->head_arrived(error); });
+        [self = shared_from_this()](beast::error_code error, size_t) { self->handle_head(error); });
 }
 
-void CallerConnection::head_too_slow()
+void CallerConnection::handle_head_timeout()
 {
-    this->refuse(Status::request_timeout, "the head did not arrive in time; send the request again");
+    this->reject(Status::request_timeout, "the head did not arrive in time; send the request again");
 }
 
-void CallerConnection::body_too_slow()
+void CallerConnection::handle_body_timeout()
 {
-    this->refuse(Status::request_timeout, "the body did not arrive in time; send the request again");
+    this->reject(Status::request_timeout, "the body did not arrive in time; send the request again");
 }
 
 bool CallerConnection::has_ambiguous_framing() const
 {
-    // A body whose end two parsers could see in different places is a way to hide a request in another one.
+    // If two parsers can disagree about where a body ends, one request can be smuggled inside another.
     auto const& head = this->parser->get();
     if (head.count(Name::content_length) > 1 || head.count(Name::transfer_encoding) > 1)
         return true;
@@ -147,93 +148,93 @@
     return !beast::iequals(head[Name::transfer_encoding], "chunked") || head.count(Name::content_length) > 0;
 }
 
-void CallerConnection::head_arrived(beast::error_code error)
+void CallerConnection::handle_head(beast::error_code error)
 {
-    // The caller may have been told by now that its head came too late.
+    // The request may already have been rejected because its head arrived too late.
     if (this->phase != ConnectionPhase::ReadingHead)
         return;
     if (error)
-        return this->refuse_bytes(error);
+        return this->reject_unreadable_request(error);
     if (this->has_ambiguous_framing())
-        return this->refuse(Status::bad_request, "send either one Content-Length or 'Transfer-Encoding: chunked'");
+        return this->reject(Status::bad_request, "send either one Content-Length or 'Transfer-Encoding: chunked'");
     this->read_body();
 }
 
 void CallerConnection::read_body()
 {
     this->enter(ConnectionPhase::ReadingBody);
-    this->set_timer(this->context->limits.idle_timeout, &CallerConnection::body_too_slow);
+    this->set_timer(this->context->limits.idle_timeout, &CallerConnection::handle_body_timeout);
     beast::http::async_read(this->socket, this->buffer, *this->parser,
-        [self = shared_from_this()](beast::error_code error, size_t) { self->body_arrived(error); });
+        [self = shared_from_this()](beast::error_code error, size_t) { self->handle_body(error); });
 }
 
-void CallerConnection::body_arrived(beast::error_code error)
+void CallerConnection::handle_body(beast::error_code error)
 {
-    // A request whose caller has been told that it came too late, or whose connection is closed, must not be run:
-    // nobody would get its answer.
+    // A request must not run after it was rejected as too late or after its connection was closed: nobody would receive
+    // its response.
     if (this->phase != ConnectionPhase::ReadingBody)
         return;
     if (error)
-        return this->refuse_bytes(error);
+        return this->reject_unreadable_request(error);
     this->deliver();
 }
 
-void CallerConnection::refuse_bytes(beast::error_code error)
+void CallerConnection::reject_unreadable_request(beast::error_code error)
 {
     if (error == HttpError::header_limit)
-        return this->refuse(
+        return this->reject(
             Status::request_header_fields_too_large, "the header is too large; send fewer or shorter fields");
     if (error == HttpError::body_limit)
-        return this->refuse(Status::payload_too_large, "the body is too large; send a smaller one");
+        return this->reject(Status::payload_too_large, "the body is too large; send a smaller one");
     if (is_malformed(error))
-        return this->refuse(Status::bad_request, "not a well-formed HTTP/1.1 request (" + error.message() + ')');
-    this->close(CloseReason::EndedByCaller);
+        return this->reject(Status::bad_request, "not a well-formed HTTP/1.1 request (" + error.message() + ')');
+    this->close(CloseReason::ClosedByCaller);
 }
 
-void CallerConnection::refuse(Status status, std::string const& reason)
+void CallerConnection::reject(Status status, std::string const& reason)
 {
-    this->enter(ConnectionPhase::Answering);
+    this->enter(ConnectionPhase::Responding);
     this->timer.cancel();
     this->keep_alive = false;
-    if (this->context->on_refused_bytes)
-        this->context->on_refused_bytes(reason);
+    if (this->context->on_rejected_request)
+        this->context->on_rejected_request(reason);
     Response response(status, http_1_1);
     response.set(Name::content_type, "application/json");
     response.body() = R"({"error":{"type":"invalid_request","message":")" + reason + "\"}}";
-    this->send_answer(std::move(response));
+    this->send_response(std::move(response));
 }
 
 void CallerConnection::deliver()
 {
-    this->enter(ConnectionPhase::Answering);
+    this->enter(ConnectionPhase::Responding);
     this->timer.cancel();
-    ++this->requests_taken;
+    ++this->requests_accepted;
     this->keep_alive = this->parser->get().keep_alive();
     auto received = AK::BootClock::now();
-    auto taken = std::make_shared<Exchange>(shared_from_this(), this->parser->release(), received);
-    this->exchange = taken;
+    auto accepted = std::make_shared<Exchange>(shared_from_this(), this->parser->release(), received);
+    this->exchange = accepted;
     this->watch_socket();
-    this->context->on_request(std::move(taken));
+    this->context->on_request(std::move(accepted));
 }
 
-void CallerConnection::promise_reuse(ResponseHead& head)
+void CallerConnection::advertise_keep_alive(ResponseHead& head)
 {
     if (this->context->closing)
         this->keep_alive = false;
     head.version(http_1_1);
     if (!this->keep_alive)
         return head.set(Name::connection, "close");
-    // The configuration may change before the answer has ended.
-    this->idle_patience = this->context->limits.idle_timeout;
-    auto const promised = this->idle_patience - idle_promise_margin;
-    auto const seconds = std::chrono::duration_cast<std::chrono::seconds>(promised).count();
+    // Stored because the configuration may change before the response is complete.
+    this->advertised_idle_timeout = this->context->limits.idle_timeout;
+    auto const advertised = this->advertised_idle_timeout - keep_alive_margin;
+    auto const seconds = std::chrono::duration_cast<std::chrono::seconds>(advertised).count();
     if (seconds > 0)
         head.set(Name::keep_alive, "timeout=" + std::to_string(seconds));
 }
 
-void CallerConnection::send_answer(Response response)
+void CallerConnection::send_response(Response response)
 {
-    this->promise_reuse(response);
+    this->advertise_keep_alive(response);
     response.prepare_payload();
     std::ostringstream head;
     head << response.base();
@@ -243,7 +244,7 @@
 
 void CallerConnection::send_stream_head(ResponseHead head)
 {
-    this->promise_reuse(head);
+    this->advertise_keep_alive(head);
     head.set(Name::transfer_encoding, "chunked");
     std::ostringstream text;
     text << head;
@@ -266,8 +267,8 @@
     if (!this->is_open())
         return;
     this->outgoing_bytes += bytes.size();
-    if (this->outgoing_bytes > CallerContext::most_waiting_bytes + this->context->limits.body_bytes)
-        return this->close(CloseReason::TooMuchWaiting);
+    if (this->outgoing_bytes > CallerContext::max_pending_bytes + this->context->limits.body_bytes)
+        return this->close(CloseReason::TooManyPendingBytes);
     this->outgoing.push_back(std::move(bytes));
     if (!this->writing)
         this->write_next();
@@ -304,20 +305,21 @@
         return this->await_request();
     boost::system::error_code ignored;
     this->socket.shutdown(tcp::socket::shutdown_send, ignored);
-    this->close(CloseReason::Answered);
+    this->close(CloseReason::ResponseSent);
 }
 
 void CallerConnection::close(CloseReason reason)
 {
     if (!this->is_open())
         return;
-    ConnectionClose const told { reason, this->phase, this->requests_taken, AK::BootClock::now() - this->phase_began };
+    ConnectionClose const closed { reason, this->phase, this->requests_accepted,
+        AK::BootClock::now() - this->phase_began };
     this->enter(ConnectionPhase::Closed);
     this->timer.cancel();
     boost::system::error_code ignored;
     this->socket.close(ignored);
     if (this->context->on_closed)
-        this->context->on_closed(told);
+        this->context->on_closed(closed);
     if (auto interrupted = this->exchange.lock())
         interrupted->connection_lost();
 }
--- a/Libraries/LibHttp/CallerConnection.h
+++ b/Libraries/LibHttp/CallerConnection.h
@@ -15,41 +15,42 @@
 
 namespace Http {
 
-/// Bounds on what a caller may send and on how long it may take.
+/// Limits on the size of a caller's requests and on the time that it takes to send them.
 struct CallerLimits {
-    /// Of a request's line and fields together; beyond it the answer is 431.
+    /// Maximum size of a request line and its fields together. Larger heads get status 431.
     u32 header_bytes { 16'384 };
-    /// Beyond it the answer is 413.
+    /// Maximum size of a request body. Larger bodies get status 413.
     u64 body_bytes { 4'194'304 };
-    /// For the rest of a head that has begun to arrive.
+    /// Time limit for the rest of a head after its first byte.
     Duration header_timeout { 3s };
-    /// For the next request on an open connection, and for a body.
+    /// Time limit for the next request on an open connection, and for a body.
     Duration idle_timeout { 15s };
 };
 
-/// What a caller's connection needs of the server that accepted it.
+/// State that all caller connections of one server share.
 struct CallerContext {
     CallerLimits limits {};
-    /// While set, every answer closes its connection.
+    /// While set, every response closes its connection.
     bool closing { false };
-    /// Requests that have begun to arrive and not yet been answered to their end.
+    /// Number of requests that have begun to arrive and whose response is not complete.
     size_t open_requests { 0 };
-    /// Bytes that may wait for one caller, beside one body of the largest size, before it is cut off.
-    static constexpr size_t most_waiting_bytes = 1 << 20;
+    /// Maximum number of unsent bytes for one caller, in addition to one body of maximum size. The connection is closed
+    /// when there are more.
+    static constexpr size_t max_pending_bytes = 1 << 20;
     std::function<void(std::shared_ptr<Exchange>)> on_request {};
-    /// Bytes that were no acceptable request; the text is what the caller was told.
-    std::function<void(std::string const& reason)> on_refused_bytes {};
+    /// Called for input that is not an acceptable request, with the message that was sent to the caller.
+    std::function<void(std::string const& reason)> on_rejected_request {};
     std::function<void(ConnectionClose const&)> on_closed {};
 };
 
-/// One connection of a caller: reads requests one after another and writes their answers.
+/// A connection from a caller. Reads requests one after another and writes their responses.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
 public:
     CallerConnection(tcp::socket socket, std::shared_ptr<CallerContext> context);
     ~CallerConnection();
 
     void start() { this->await_request(); }
-    /// Closes at once if no request is under way and none waits in the socket.
+    /// Closes the connection immediately if no request is in progress and none is waiting in the socket.
     void close_if_idle(CloseReason);
     [[nodiscard]] bool is_open() const { return this->phase != ConnectionPhase::Closed; }
 
@@ -59,26 +60,26 @@
 
     void await_request();
     void watch_socket();
-    void became_readable();
-    void look_for_leaving();
+    void handle_readable();
+    void check_for_disconnect();
     void read_head();
-    void head_arrived(beast::error_code);
+    void handle_head(beast::error_code);
     void read_body();
-    void body_arrived(beast::error_code);
-    void refuse_bytes(beast::error_code);
-    void refuse(Status, std::string const& reason);
+    void handle_body(beast::error_code);
+    void reject_unreadable_request(beast::error_code);
+    void reject(Status, std::string const& reason);
     [[nodiscard]] bool has_ambiguous_framing() const;
     void deliver();
 
-    /// Calls `overdue` after `patience`, unless the phase has changed or the timer has been set anew by then.
-    void set_timer(Duration patience, void (CallerConnection::*overdue)());
-    void idle_too_long();
-    void head_too_slow();
-    void body_too_slow();
+    /// Calls `on_expiry` after `timeout`, unless the phase has changed or the timer has been reset by then.
+    void set_timer(Duration timeout, void (CallerConnection::*on_expiry)());
+    void handle_idle_timeout();
+    void handle_head_timeout();
+    void handle_body_timeout();
 
-    /// Says in an answer's head whether the connection can be used again, and until when.
-    void promise_reuse(ResponseHead&);
-    void send_answer(Response);
+    /// Sets the fields of a response head that state whether, and for how long, the connection may be reused.
+    void advertise_keep_alive(ResponseHead&);
+    void send_response(Response);
     void send_stream_head(ResponseHead);
     void send_chunk(std::string_view);
     void send_last_chunk();
@@ -86,15 +87,15 @@
     void write_next();
     void written(beast::error_code);
     void request_finished();
-    /// The one way in which a connection ends. Whoever works on its request is told.
+    /// Every close of a connection goes through here. Notifies the exchange of the current request.
     void close(CloseReason);
     void enter(ConnectionPhase);
 
     tcp::socket socket;
     AK::Timer timer;
     std::shared_ptr<CallerContext> context;
-    /// As the caller was told with the last answer.
-    Duration idle_patience;
+    /// The idle timeout at the last response, whose Keep-Alive field advertises a shorter time.
+    Duration advertised_idle_timeout;
     beast::flat_buffer buffer;
     std::optional<Parser> parser;
     std::weak_ptr<Exchange> exchange;
@@ -102,7 +103,7 @@
     size_t outgoing_bytes { 0 };
     ConnectionPhase phase { ConnectionPhase::BetweenRequests };
     Instant phase_began {};
-    u64 requests_taken { 0 };
+    u64 requests_accepted { 0 };
     bool writing { false };
     bool finish_when_written { false };
     bool keep_alive { true };
--- a/Libraries/LibHttp/ConnectionPhase.cpp
+++ b/Libraries/LibHttp/ConnectionPhase.cpp
@@ -18,7 +18,7 @@
         return "reading_head";
     case ConnectionPhase::ReadingBody:
         return "reading_body";
-    case ConnectionPhase::Answering:
+    case ConnectionPhase::Responding:
         return "answering";
     case ConnectionPhase::Closed:
         return "closed";
@@ -29,19 +29,19 @@
 std::string_view to_string(CloseReason reason)
 {
     switch (reason) {
-    case CloseReason::Answered:
+    case CloseReason::ResponseSent:
         return "answered";
-    case CloseReason::EndedByCaller:
+    case CloseReason::ClosedByCaller:
         return "ended_by_caller";
     case CloseReason::Idle:
         return "idle";
     case CloseReason::PlannedStop:
         return "planned_stop";
-    case CloseReason::RoomNeeded:
+    case CloseReason::CapacityNeeded:
         return "room_needed";
     case CloseReason::WriteFailed:
         return "write_failed";
-    case CloseReason::TooMuchWaiting:
+    case CloseReason::TooManyPendingBytes:
         return "too_much_waiting";
     case CloseReason::Aborted:
         return "aborted";
--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -11,22 +11,22 @@
 
 Exchange::Exchange(std::shared_ptr<CallerConnection> connection, Request request, Instant received)
     : connection(std::move(connection))
-    , taken(std::move(request))
+    , received_request(std::move(request))
     , received(received)
 {
 }
 
-std::shared_ptr<CallerConnection> Exchange::take_connection()
+std::shared_ptr<CallerConnection> Exchange::release_connection()
 {
-    this->caller_left = nullptr;
+    this->caller_disconnected = nullptr;
     return std::exchange(this->connection, nullptr);
 }
 
-void Exchange::answer(Response response)
+void Exchange::respond(Response response)
 {
     if (!this->connection)
         return;
-    this->take_connection()->send_answer(std::move(response));
+    this->release_connection()->send_response(std::move(response));
 }
 
 void Exchange::begin_stream(ResponseHead const& head)
@@ -37,9 +37,9 @@
     this->connection->send_stream_head(head);
 }
 
-void Exchange::send_piece(std::string_view piece)
+void Exchange::send_chunk(std::string_view piece)
 {
-    // An empty chunk would end the body.
+    // In chunked encoding, an empty chunk marks the end of the body.
     if (this->connection && !piece.empty())
         this->connection->send_chunk(piece);
 }
@@ -47,21 +47,21 @@
 void Exchange::end_stream()
 {
     if (this->connection)
-        this->take_connection()->send_last_chunk();
+        this->release_connection()->send_last_chunk();
 }
 
 void Exchange::abort()
 {
     if (this->connection)
-        this->take_connection()->close(CloseReason::Aborted);
+        this->release_connection()->close(CloseReason::Aborted);
 }
 
 void Exchange::connection_lost()
 {
     if (!this->connection)
         return;
-    auto observer = std::move(this->caller_left);
-    this->take_connection();
+    auto observer = std::move(this->caller_disconnected);
+    this->release_connection();
     if (observer)
         observer();
 }
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -17,7 +17,7 @@
 {
 }
 
-std::vector<MemberEvent> MemberTable::beat(Instant now)
+std::vector<MemberEvent> MemberTable::advance_heartbeat(Instant now)
 {
     ++this->self.heartbeat;
     this->self.last_advance = now;
@@ -35,8 +35,9 @@
     return events;
 }
 
-/// Enough of an incarnation to tell two starts of one member apart; a mistake would only keep a dead one for a while.
-static u32 check_of(Incarnation incarnation)
+/// Returns the low bits of an incarnation, enough to distinguish two starts of one member. A collision would only keep
+/// a dead member in the table for longer.
+static u32 truncated_incarnation(Incarnation incarnation)
 {
     constexpr u64 check_mask = 0x3fff;
     return static_cast<u32>(incarnation.value() & check_mask);
@@ -45,27 +46,27 @@
 void MemberTable::receive_full(wire::MemberState const& state, Instant now, std::vector<MemberEvent>& events)
 {
     MemberId id(state.id());
-    std::pair news { Incarnation(state.incarnation()), state.heartbeat() };
+    std::pair received { Incarnation(state.incarnation()), state.heartbeat() };
     if (id == this->self.id) {
-        // Someone remembers a later start of this member: the host's clock went back. Outrank it.
-        if (news.first > this->self.incarnation)
-            this->self.incarnation = Incarnation(news.first.value() + 1);
+        // A peer knows a later incarnation of this member, so the host's clock went back. Exceed that incarnation.
+        if (received.first > this->self.incarnation)
+            this->self.incarnation = Incarnation(received.first.value() + 1);
         return;
     }
-    auto gone = this->lost.find(id);
-    if (gone != this->lost.end() && news <= gone->second)
+    auto lost_entry = this->lost.find(id);
+    if (lost_entry != this->lost.end() && received <= lost_entry->second)
         return;
     auto [row, is_new] = this->rows.try_emplace(id);
     auto& member = row->second;
-    if (!is_new && news <= std::pair(member.incarnation, member.heartbeat))
+    if (!is_new && received <= std::pair(member.incarnation, member.heartbeat))
         return;
     if (is_new)
-        events.push_back({ id, MemberChange::Joined, news.first });
-    else if (news.first > member.incarnation)
-        events.push_back({ id, MemberChange::Replaced, news.first });
+        events.push_back({ id, MemberChange::Joined, received.first });
+    else if (received.first > member.incarnation)
+        events.push_back({ id, MemberChange::Replaced, received.first });
     if (state.leaving() && !member.leaving)
-        events.push_back({ id, MemberChange::Leaving, news.first });
-    member = { id, state.role(), Address(state.address()), news.first, news.second, state.leaving(),
+        events.push_back({ id, MemberChange::Leaving, received.first });
+    member = { id, state.role(), Address(state.address()), received.first, received.second, state.leaving(),
         Revision(state.revision()), now };
     this->lost.erase(id);
 }
@@ -73,7 +74,7 @@
 void MemberTable::receive_compact(wire::MemberState const& state, Revision sender_revision, Instant now)
 {
     auto known = this->rows.find(MemberId(state.id()));
-    if (known == this->rows.end() || check_of(known->second.incarnation) != state.incarnation_check()
+    if (known == this->rows.end() || truncated_incarnation(known->second.incarnation) != state.incarnation_check()
         || state.heartbeat() <= known->second.heartbeat)
         return;
     known->second.heartbeat = state.heartbeat();
@@ -108,7 +109,7 @@
 {
     state.set_id(row.id.value());
     state.set_heartbeat(row.heartbeat);
-    state.set_incarnation_check(check_of(row.incarnation));
+    state.set_incarnation_check(truncated_incarnation(row.incarnation));
 }
 
 wire::Gossip MemberTable::gossip(FailureDomainId const& domain, GossipDetail detail) const
@@ -117,7 +118,7 @@
     gossip.set_failure_domain(domain.value());
     write_full(this->self, *gossip.add_members());
     for (auto const& [id, row] : this->rows) {
-        // What is unlike the rest must be said in full.
+        // A member that is leaving or at another revision needs its full row, which a compact row does not carry.
         auto is_ordinary = row.revision == this->self.revision && !row.leaving;
         if (detail == GossipDetail::Compact && is_ordinary)
             write_compact(row, *gossip.add_members());
@@ -135,7 +136,7 @@
     return result;
 }
 
-std::vector<Address> MemberTable::draw_targets(size_t count, std::mt19937& random) const
+std::vector<Address> MemberTable::sample_targets(size_t count, std::mt19937& random) const
 {
     std::vector<Address> known;
     for (auto const& [id, row] : this->rows)
--- a/Libraries/LibNode/Node.cpp
+++ b/Libraries/LibNode/Node.cpp
@@ -12,20 +12,21 @@
 
 using Core::EventNumber;
 
-// Members other than the poller look at the table themselves this many times more seldom.
+// Members other than the poller poll the platform at this multiple of the poll periods.
 static constexpr int follower_poll_factor = 10;
-// Who owns this key reads for the failure domain and hands on what is new.
+// The owner of this key polls the platform for the failure domain and broadcasts updates.
 static constexpr auto reader_key = "platform-reader";
 static constexpr size_t gossip_fanout = 2;
-// Views go out in full for some beats after members came or went, and now and then in any case.
-static constexpr u64 full_gossip_beats_after_change = 4;
+// Views are sent in full for some heartbeats after members were added or removed, and in any case once per period,
+// which is counted in heartbeats, too.
+static constexpr u64 full_gossip_heartbeats_after_change = 4;
 static constexpr u64 full_gossip_period = 16;
-static constexpr u64 remote_digest_beats = 5;
-static constexpr Duration leaving_memory = 60s;
-static constexpr Duration stale_after = 30s;
-static constexpr Duration loop_is_stuck_after = 5s;
+static constexpr u64 heartbeats_per_remote_digest = 5;
+static constexpr Duration leaving_server_retention = 60s;
+static constexpr Duration staleness_limit = 30s;
+static constexpr Duration loop_stuck_timeout = 5s;
 static constexpr size_t background_threads = 4;
-static constexpr size_t largest_event_batch = 2000;
+static constexpr size_t max_event_batch = 2000;
 
 static Instant now() { return AK::BootClock::now(); }
 
@@ -43,7 +44,8 @@
     row.id = settings.member;
     row.role = settings.role;
     row.address = settings.peer_listen;
-    // A later start has a later wall clock; if the clock went back, peers say so and the number is raised.
+    // A later start normally has a later wall clock. If the clock went back, the gossip of peers shows the higher
+    // number, and the member table raises this one above it.
     row.incarnation = Incarnation(Core::SystemClock().wall_milliseconds());
     return row;
 }
@@ -51,13 +53,13 @@
 Node::Node(NodeSettings settings)
     : node_settings(std::move(settings))
     , event_log(this->node_settings.member)
-    , platform_client(this->node_settings.platform, this->node_settings.platform_patience)
+    , platform_client(this->node_settings.platform, this->node_settings.platform_timeout)
     , peer_transport(this->event_loop, this->event_log, this->metric_set, this->node_settings.peer_listen,
           this->node_settings.curve)
     , member_table(own_row(this->node_settings), this->node_settings.silence_limit)
     , random(std::random_device {}())
     , last_platform_contact(now())
-    , last_beat_milliseconds(now_milliseconds())
+    , last_heartbeat_milliseconds(now_milliseconds())
     , background_caller(this->event_loop, background_threads)
 {
     this->peer_transport.on_message([this](wire::Envelope const& envelope) { this->receive(envelope); });
@@ -67,11 +69,11 @@
 {
     this->event_log.record(EventNumber::ProcessStarted, this->node_settings.member.value(),
         "in failure domain " + this->node_settings.failure_domain.value());
-    this->event_loop.every(this->node_settings.heartbeat_period, [this] { this->beat(); });
+    this->event_loop.every(this->node_settings.heartbeat_period, [this] { this->run_heartbeat(); });
     this->event_loop.every(this->node_settings.configuration_poll_period, [this] { this->poll_configuration(); });
     this->event_loop.every(this->node_settings.backend_list_poll_period, [this] { this->poll_backend_servers(); });
     this->event_loop.after(0s, [this] {
-        this->beat();
+        this->run_heartbeat();
         this->poll_configuration();
         this->poll_backend_servers();
     });
@@ -92,15 +94,15 @@
 
 std::vector<Address> Node::gossip_targets()
 {
-    auto targets = this->member_table.draw_targets(gossip_fanout, this->random);
-    // One seed a beat that is not known as a member: it may have started since, or come back.
+    auto targets = this->member_table.sample_targets(gossip_fanout, this->random);
+    // In each heartbeat, also try one configured peer that is not a known member: it may have started or returned.
     std::vector<Address> unknown;
     for (auto const& seed : this->node_settings.peers) {
         if (seed != this->node_settings.peer_listen && !this->member_table.knows_address(seed))
             unknown.push_back(seed);
     }
     if (!unknown.empty())
-        targets.push_back(unknown[this->beat_count % unknown.size()]);
+        targets.push_back(unknown[this->heartbeat_count % unknown.size()]);
     return targets;
 }
 
@@ -116,38 +118,40 @@
 void Node::send_remote_digest()
 {
     auto const& remote = this->node_settings.remote_peers;
-    if (remote.empty() || !this->is_poller() || this->beat_count % remote_digest_beats != 0)
+    if (remote.empty() || !this->is_poller() || this->heartbeat_count % heartbeats_per_remote_digest != 0)
         return;
     wire::Envelope envelope;
-    auto whole = this->member_table.gossip(this->node_settings.failure_domain, Membership::GossipDetail::Compact);
+    auto gossip = this->member_table.gossip(this->node_settings.failure_domain, Membership::GossipDetail::Compact);
     envelope.mutable_gossip()->set_failure_domain(this->node_settings.failure_domain.value());
-    *envelope.mutable_gossip()->add_members() = whole.members(0);
-    this->send(remote[this->beat_count / remote_digest_beats % remote.size()], std::move(envelope));
+    *envelope.mutable_gossip()->add_members() = gossip.members(0);
+    this->send(remote[this->heartbeat_count / heartbeats_per_remote_digest % remote.size()], std::move(envelope));
 }
 
-void Node::look_for_router()
+void Node::update_router_known()
 {
     this->router_known = this->node_settings.role != wire::ROLE_GATEWAY || this->owner_of(reader_key);
 }
 
-void Node::note_readiness()
+void Node::record_readiness()
 {
-    this->look_for_router();
-    if (this->readiness_noted || !this->is_ready())
+    this->update_router_known();
+    if (this->readiness_recorded || !this->is_ready())
         return;
-    this->readiness_noted = true;
+    this->readiness_recorded = true;
     this->event_log.record(EventNumber::ProcessReady, this->node_settings.member.value(),
         "at revision " + std::to_string(this->follower.revision().value()));
 }
 
-void Node::beat()
+void Node::run_heartbeat()
 {
-    this->note_readiness();
-    this->last_beat_milliseconds = now_milliseconds();
-    ++this->beat_count;
-    this->report(this->member_table.beat(now()));
-    std::erase_if(this->leaving_servers, [](auto const& entry) { return now() - entry.second > leaving_memory; });
-    auto is_full = this->beat_count <= this->full_gossip_until_beat || this->beat_count % full_gossip_period == 0;
+    this->record_readiness();
+    this->last_heartbeat_milliseconds = now_milliseconds();
+    ++this->heartbeat_count;
+    this->report(this->member_table.advance_heartbeat(now()));
+    std::erase_if(
+        this->leaving_servers, [](auto const& entry) { return now() - entry.second > leaving_server_retention; });
+    auto is_full
+        = this->heartbeat_count <= this->full_gossip_until_heartbeat || this->heartbeat_count % full_gossip_period == 0;
     auto detail = is_full ? Membership::GossipDetail::Full : Membership::GossipDetail::Compact;
     for (auto const& target : this->gossip_targets())
         this->send_gossip(target, detail);
@@ -178,8 +182,8 @@
     }
     if (events.empty())
         return;
-    this->full_gossip_until_beat = this->beat_count + full_gossip_beats_after_change;
-    this->look_for_router();
+    this->full_gossip_until_heartbeat = this->heartbeat_count + full_gossip_heartbeats_after_change;
+    this->update_router_known();
     for (auto const& handler : this->member_handlers)
         handler();
 }
@@ -191,10 +195,10 @@
         this->receive_gossip(envelope);
         return;
     case wire::Envelope::kConfigurationFetch: {
-        wire::Envelope answer;
-        *answer.mutable_configuration_entries()
-            = this->follower.answer(Revision(envelope.configuration_fetch().after_revision()));
-        this->send(Address(envelope.sender_address()), std::move(answer));
+        wire::Envelope response;
+        *response.mutable_configuration_entries()
+            = this->follower.entries_after(Revision(envelope.configuration_fetch().after_revision()));
+        this->send(Address(envelope.sender_address()), std::move(response));
         return;
     }
     case wire::Envelope::kConfigurationEntries:
@@ -204,18 +208,18 @@
         this->receive_events_fetch(envelope);
         return;
     case wire::Envelope::kBackendServersFetch: {
-        wire::Envelope answer;
-        answer.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
-        this->send(Address(envelope.sender_address()), std::move(answer));
+        wire::Envelope response;
+        response.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
+        this->send(Address(envelope.sender_address()), std::move(response));
         return;
     }
     case wire::Envelope::kBackendServers: {
         auto parsed = Platform::parse_backend_servers(envelope.backend_servers().json());
         auto const* reader = this->owner_of(reader_key);
         auto is_from_reader = reader && reader->id == MemberId(envelope.sender());
-        // Another peer's list only stands in for one that has not come yet.
+        // Another peer's list is used only until the first list arrives.
         if (parsed && (is_from_reader || this->servers.empty()))
-            this->take_backend_servers(std::move(parsed.value()));
+            this->apply_backend_servers(std::move(parsed.value()));
         return;
     }
     default:
@@ -237,19 +241,19 @@
     if (newest > this->follower.revision().value())
         this->fetch_configuration_from(sender);
     else if (!is_local && newest < this->follower.revision().value()) {
-        wire::Envelope answer;
-        *answer.mutable_configuration_entries() = this->follower.answer(Revision(newest));
-        this->send(sender, std::move(answer));
+        wire::Envelope response;
+        *response.mutable_configuration_entries() = this->follower.entries_after(Revision(newest));
+        this->send(sender, std::move(response));
     }
     if (is_local && this->servers.empty()) {
-        wire::Envelope question;
-        question.mutable_backend_servers_fetch();
-        this->send(sender, std::move(question));
+        wire::Envelope request;
+        request.mutable_backend_servers_fetch();
+        this->send(sender, std::move(request));
     }
-    bool learnt = false;
+    bool changed = false;
     for (auto const& id : gossip.leaving_backend_servers())
-        learnt |= this->leaving_servers.emplace(EngineId(id), now()).second;
-    if (learnt) {
+        changed |= this->leaving_servers.emplace(EngineId(id), now()).second;
+    if (changed) {
         for (auto const& handler : this->backend_handlers)
             handler();
     }
@@ -258,10 +262,10 @@
 void Node::receive_events_fetch(wire::Envelope const& envelope)
 {
     auto const& fetch = envelope.events_fetch();
-    wire::Envelope answer;
-    answer.set_correlation(envelope.correlation());
-    auto maximum = std::min<size_t>(fetch.maximum(), largest_event_batch);
-    auto* batch = answer.mutable_event_batch();
+    wire::Envelope response;
+    response.set_correlation(envelope.correlation());
+    auto maximum = std::min<size_t>(fetch.maximum(), max_event_batch);
+    auto* batch = response.mutable_event_batch();
     for (auto const& event : this->event_log.latest(maximum, fetch.subject())) {
         auto* record = batch->add_events();
         record->set_wall_milliseconds(event.stamp.wall_milliseconds);
@@ -272,25 +276,25 @@
         record->set_subject(event.subject);
         record->set_organisation(event.organisation.value());
     }
-    this->send(Address(envelope.sender_address()), std::move(answer));
+    this->send(Address(envelope.sender_address()), std::move(response));
 }
 
 // Configuration
 
 void Node::fetch_configuration_from(Address const& peer)
 {
-    wire::Envelope question;
-    question.mutable_configuration_fetch()->set_after_revision(this->follower.revision().value());
-    this->send(peer, std::move(question));
+    wire::Envelope request;
+    request.mutable_configuration_fetch()->set_after_revision(this->follower.revision().value());
+    this->send(peer, std::move(request));
 }
 
-void Node::receive_entries(wire::ConfigurationEntries const& answer)
+void Node::receive_entries(wire::ConfigurationEntries const& received)
 {
     bool moved = false;
-    if (answer.has_snapshot())
-        moved |= this->follower.offer(answer.snapshot());
-    std::vector<wire::LogEntry> entries(answer.entries().begin(), answer.entries().end());
-    moved |= this->follower.offer(entries);
+    if (received.has_snapshot())
+        moved |= this->follower.apply(received.snapshot());
+    std::vector<wire::LogEntry> entries(received.entries().begin(), received.entries().end());
+    moved |= this->follower.apply(entries);
     if (moved)
         this->revision_moved();
 }
@@ -305,22 +309,23 @@
         handler();
 }
 
-void Node::spread_entries(std::vector<wire::LogEntry> const& entries)
+void Node::broadcast_entries(std::vector<wire::LogEntry> const& entries)
 {
-    if (!this->follower.offer(entries))
+    if (!this->follower.apply(entries))
         return;
     this->revision_moved();
-    wire::Envelope news;
+    wire::Envelope update;
     for (auto const& entry : entries)
-        *news.mutable_configuration_entries()->add_entries() = entry;
+        *update.mutable_configuration_entries()->add_entries() = entry;
     for (auto const& member : this->member_table.others())
-        this->send(member.address, news);
+        this->send(member.address, update);
 }
 
 void Node::poll_configuration()
 {
     auto period = this->node_settings.configuration_poll_period * (this->is_poller() ? 1 : follower_poll_factor);
-    // The first poll, and the one after a change of poller, do not wait.
+    // Each call polls until a configuration is known. After a change of poller, the shorter period applies to the new
+    // poller at once.
     auto is_due = this->last_configuration_poll == Instant() || now() - this->last_configuration_poll >= period
         || !this->configuration_known;
     if (this->configuration_poll_runs || !is_due)
@@ -328,58 +333,58 @@
     this->configuration_poll_runs = true;
     this->last_configuration_poll = now();
     this->background_caller.submit(
-        [this, revision = this->follower.revision()] { return this->read_configuration_news(revision); },
-        [this](Result<ConfigurationNews> const& news) { this->take_news(news); });
+        [this, revision = this->follower.revision()] { return this->read_configuration_update(revision); },
+        [this](Result<ConfigurationUpdate> const& update) { this->apply_configuration_update(update); });
 }
 
-/// On a background thread: touches nothing but the platform's client.
-Result<Node::ConfigurationNews> Node::read_configuration_news(Revision known)
+/// Runs on a background thread and uses only the platform client.
+Result<Node::ConfigurationUpdate> Node::read_configuration_update(Revision known)
 {
     Configuration::ConfigurationLog log(this->platform_client);
-    ConfigurationNews news;
+    ConfigurationUpdate update;
     if (known == Revision(0)) {
-        TRY(news.snapshot, log.read_snapshot());
-        if (news.snapshot)
-            known = Revision(news.snapshot->revision());
+        TRY(update.snapshot, log.read_snapshot());
+        if (update.snapshot)
+            known = Revision(update.snapshot->revision());
     }
-    TRY(news.entries, log.read_after(known));
-    return news;
+    TRY(update.entries, log.read_after(known));
+    return update;
 }
 
-void Node::take_news(Result<ConfigurationNews> const& news)
+void Node::apply_configuration_update(Result<ConfigurationUpdate> const& update)
 {
     this->configuration_poll_runs = false;
-    this->platform_answered(without_value(news));
-    if (!news)
+    this->record_platform_result(without_value(update));
+    if (!update)
         return;
     this->configuration_known = true;
-    if (news.value().snapshot && this->follower.offer(*news.value().snapshot))
+    if (update.value().snapshot && this->follower.apply(*update.value().snapshot))
         this->revision_moved();
-    if (!news.value().entries.empty())
-        this->spread_entries(news.value().entries);
+    if (!update.value().entries.empty())
+        this->broadcast_entries(update.value().entries);
 }
 
 Duration Node::since_platform_contact() const { return now() - this->last_platform_contact; }
 
-void Node::platform_answered(Result<void> const& answer)
+void Node::record_platform_result(Result<void> const& result)
 {
-    if (answer) {
+    if (result) {
         this->last_platform_contact = now();
         if (!this->platform_is_available)
-            this->event_log.record(EventNumber::PlatformAvailable, "platform", "answers again");
+            this->event_log.record(EventNumber::PlatformAvailable, "platform", "responds again");
         this->platform_is_available = true;
         this->staleness_reported = false;
         return;
     }
     if (this->platform_is_available)
         this->event_log.record(EventNumber::PlatformUnavailable, "platform",
-            "serving on revision " + std::to_string(this->follower.revision().value()) + ": " + answer.error().message);
+            "serving on revision " + std::to_string(this->follower.revision().value()) + ": " + result.error().message);
     this->platform_is_available = false;
-    if (this->staleness_reported || this->since_platform_contact() < stale_after)
+    if (this->staleness_reported || this->since_platform_contact() < staleness_limit)
         return;
     this->staleness_reported = true;
     this->event_log.record(EventNumber::ConfigurationStale, std::to_string(this->follower.revision().value()),
-        "the platform has not answered for " + std::to_string(stale_after / 1s) + " s; newer changes may exist");
+        "the platform has not responded for " + std::to_string(staleness_limit / 1s) + " s; newer changes may exist");
 }
 
 // Backend servers
@@ -396,23 +401,23 @@
         [this] { return this->platform_client.list_backend_servers(this->node_settings.failure_domain); },
         [this](Result<std::vector<Platform::BackendServerRecord>> list) {
             this->backend_poll_runs = false;
-            this->platform_answered(without_value(list));
+            this->record_platform_result(without_value(list));
             if (!list || list.value() == this->servers)
                 return;
-            this->take_backend_servers(std::move(list.value()));
-            this->spread_backend_servers();
+            this->apply_backend_servers(std::move(list.value()));
+            this->broadcast_backend_servers();
         });
 }
 
-void Node::spread_backend_servers()
+void Node::broadcast_backend_servers()
 {
-    wire::Envelope news;
-    news.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
+    wire::Envelope update;
+    update.mutable_backend_servers()->set_json(Platform::format_backend_servers(this->servers));
     for (auto const& member : this->member_table.others())
-        this->send(member.address, news);
+        this->send(member.address, update);
 }
 
-void Node::take_backend_servers(std::vector<Platform::BackendServerRecord> list)
+void Node::apply_backend_servers(std::vector<Platform::BackendServerRecord> list)
 {
     if (list == this->servers)
         return;
@@ -426,7 +431,7 @@
     if (this->leaving_servers.contains(id) || this->configuration().is_draining(id))
         return true;
     auto found = std::ranges::find(this->servers, id, &Platform::BackendServerRecord::id);
-    return found != this->servers.end() && found->state == Platform::HostState::Leaving;
+    return found != this->servers.end() && found->state == Platform::BackendServerState::Leaving;
 }
 
 void Node::backend_server_is_leaving(EngineId const& id)
@@ -435,12 +440,12 @@
     if (!is_new)
         return;
     this->event_log.record(EventNumber::EngineLeaving, id.value(), "takes no new work");
-    this->tell_everyone_of_leaving_servers();
+    this->broadcast_leaving_servers();
     for (auto const& handler : this->backend_handlers)
         handler();
 }
 
-void Node::tell_everyone_of_leaving_servers()
+void Node::broadcast_leaving_servers()
 {
     for (auto const& member : this->member_table.others())
         this->send_gossip(member.address, Membership::GossipDetail::Full);
@@ -454,7 +459,7 @@
         return;
     this->event_log.record(EventNumber::ProcessLeaving, this->node_settings.member.value(), "planned stop");
     this->member_table.set_own_leaving();
-    (void)this->member_table.beat(now());
+    (void)this->member_table.advance_heartbeat(now());
     for (auto const& member : this->member_table.others())
         this->send_gossip(member.address, Membership::GossipDetail::Full);
 }
@@ -472,7 +477,7 @@
 
 bool Node::is_live() const
 {
-    return now_milliseconds() - this->last_beat_milliseconds < AK::to_milliseconds(loop_is_stuck_after);
+    return now_milliseconds() - this->last_heartbeat_milliseconds < AK::to_milliseconds(loop_stuck_timeout);
 }
 
 }
--- a/Libraries/LibNode/StatusServer.cpp
+++ b/Libraries/LibNode/StatusServer.cpp
@@ -16,9 +16,9 @@
 
 using Poco::Net::HTTPResponse;
 
-static constexpr size_t events_shown = 1000;
+static constexpr size_t max_events_shown = 1000;
 
-static void answer(Poco::Net::HTTPServerResponse& response, HTTPResponse::HTTPStatus status, std::string const& body)
+static void respond(Poco::Net::HTTPServerResponse& response, HTTPResponse::HTTPStatus status, std::string const& body)
 {
     response.setStatusAndReason(status);
     response.setContentType("text/plain; charset=utf-8");
@@ -36,28 +36,28 @@
     {
         auto const& path = request.getURI();
         if (path == "/health/live")
-            this->answer_health(response, this->node.is_live(), this->node.is_live() ? "live" : "the loop is stuck");
+            this->respond_health(response, this->node.is_live(), this->node.is_live() ? "live" : "the loop is stuck");
         else if (path == "/health/ready")
-            this->answer_health(response, this->node.is_ready(), this->node.readiness_reason());
+            this->respond_health(response, this->node.is_ready(), this->node.readiness_reason());
         else if (path == "/metrics")
-            answer(response, HTTPResponse::HTTP_OK, this->node.metrics().text());
+            respond(response, HTTPResponse::HTTP_OK, this->node.metrics().text());
         else if (path == "/events")
-            answer(response, HTTPResponse::HTTP_OK, this->events());
+            respond(response, HTTPResponse::HTTP_OK, this->events());
         else
-            answer(response, HTTPResponse::HTTP_NOT_FOUND,
+            respond(response, HTTPResponse::HTTP_NOT_FOUND,
                 "no such page; there are /health/live, /health/ready, /metrics and /events\n");
     }
 
 private:
-    void answer_health(Poco::Net::HTTPServerResponse& response, bool is_good, std::string const& reason)
+    void respond_health(Poco::Net::HTTPServerResponse& response, bool is_good, std::string const& reason)
     {
-        answer(response, is_good ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_SERVICE_UNAVAILABLE, reason + '\n');
+        respond(response, is_good ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_SERVICE_UNAVAILABLE, reason + '\n');
     }
 
     std::string events()
     {
         std::string text;
-        for (auto const& event : this->node.events().latest(events_shown))
+        for (auto const& event : this->node.events().latest(max_events_shown))
             text += Core::format_event(event) + '\n';
         return text;
     }
--- a/Libraries/LibOperator/OperatorLoop.cpp
+++ b/Libraries/LibOperator/OperatorLoop.cpp
@@ -15,8 +15,8 @@
 
 using Core::EventNumber;
 
-static constexpr Duration collection_patience = 1s;
-static constexpr size_t longest_change_id = 128;
+static constexpr Duration collection_timeout = 1s;
+static constexpr size_t max_change_id_bytes = 128;
 
 static grpc::StatusCode status_code(ErrorKind kind)
 {
@@ -130,7 +130,7 @@
     new UnaryCall<wire::GetRequest, wire::ConfigurationSnapshot>(
         *this, &Service::RequestGet, OperatorRole::Viewer, [this](auto const&, auto const&, auto done) {
             auto snapshot = this->node.configuration().snapshot();
-            // Whoever can look at the configuration must not be able to sign resume tokens.
+            // Viewers of the configuration must not be able to sign resume tokens.
             for (auto& key : *snapshot.mutable_resume_keys())
                 key.set_secret_hexadecimal("(hidden)");
             done(std::move(snapshot));
@@ -143,8 +143,8 @@
         });
     new UnaryCall<wire::ExplainRequest, wire::ExplainReply>(
         *this, &Service::RequestExplain, OperatorRole::Viewer, [this](auto const& request, auto const&, auto done) {
-            constexpr u64 most_events = 200;
-            this->collect_events(most_events, request.generation(), [done](auto events) {
+            constexpr u64 max_events = 200;
+            this->collect_events(max_events, request.generation(), [done](auto events) {
                 wire::ExplainReply reply;
                 reply.mutable_events()->Swap(events.mutable_events());
                 done(std::move(reply));
@@ -169,7 +169,7 @@
 
 void OperatorLoop::apply(wire::ApplyRequest const& request, OperatorIdentity const& identity, ApplyDone done)
 {
-    if (request.change_id().empty() || request.change_id().size() > longest_change_id) {
+    if (request.change_id().empty() || request.change_id().size() > max_change_id_bytes) {
         done(Error {
             ErrorKind::InvalidRequest, "change_id must be 1 to 128 bytes; choose one and keep it for repeats", {} });
         return;
@@ -210,7 +210,7 @@
             auto const& accepted = applied.outcome.value();
             this->node.events().record(EventNumber::ChangeAccepted, change_id,
                 "by " + name + " as revision " + std::to_string(accepted.revision.value()));
-            this->node.spread_entries(applied.entries);
+            this->node.broadcast_entries(applied.entries);
             wire::ApplyReply reply;
             reply.set_revision(accepted.revision.value());
             reply.set_repeated(accepted.repeated);
@@ -260,7 +260,7 @@
         this->finish_collection(correlation);
         return;
     }
-    this->node.loop().after(collection_patience, [this, correlation] { this->finish_collection(correlation); });
+    this->node.loop().after(collection_timeout, [this, correlation] { this->finish_collection(correlation); });
 }
 
 void OperatorLoop::finish_collection(u64 correlation)
--- a/Libraries/LibPolicyBench/Cells.cpp
+++ b/Libraries/LibPolicyBench/Cells.cpp
@@ -18,17 +18,17 @@
 using Scheduling::PolicyConstants;
 using Scheduling::PromptOnlyReservation;
 
-static constexpr u32 routers_choosing_alone = 4;
+static constexpr u32 independent_router_count = 4;
 
 static PolicyConstants first_come_constants()
 {
     PolicyConstants constants;
     constants.is_fair = false;
     constants.refuses_by_forecast = false;
-    // First come, first served: nothing passes the head of the queue.
+    // First come, first served: no request bypasses the head of the queue.
     constants.bypass_share = 0;
     constants.reserves_engine = false;
-    constants.passing_depth = 1;
+    constants.bypass_depth = 1;
     return constants;
 }
 
@@ -43,7 +43,7 @@
     std::vector<std::unique_ptr<Dispatcher>> owners;
     for (size_t i = 0; i < owner_count; ++i)
         owners.push_back(make_forecast({}));
-    return std::make_unique<DividedOwners>(std::move(owners));
+    return std::make_unique<SplitBrainOwners>(std::move(owners));
 }
 
 std::vector<std::string> const& policy_names()
@@ -58,15 +58,15 @@
     using Setter = void (*)(PolicyConstants&, double);
     static std::map<std::string, Setter> const setters {
         { "initial", [](auto& all, double number) { all.initial_safety = number; } },
-        { "min", [](auto& all, double number) { all.smallest_safety = number; } },
-        { "max", [](auto& all, double number) { all.largest_safety = number; } },
+        { "min", [](auto& all, double number) { all.min_safety = number; } },
+        { "max", [](auto& all, double number) { all.max_safety = number; } },
         { "target", [](auto& all, double number) { all.target_preemptions_per_generation = number; } },
         { "gain", [](auto& all, double number) { all.safety_gain = number; } },
-        { "shortage", [](auto& all, double number) { all.shortage_memory = AK::from_seconds(number); } },
+        { "shortage", [](auto& all, double number) { all.shortage_duration = AK::from_seconds(number); } },
         { "reserve", [](auto& all, double number) { all.reserve_share = number; } },
         { "bypass", [](auto& all, double number) { all.bypass_share = number; } },
         { "reserves", [](auto& all, double number) { all.reserves_engine = number > 0; } },
-        { "depth", [](auto& all, double number) { all.passing_depth = static_cast<size_t>(number); } },
+        { "depth", [](auto& all, double number) { all.bypass_depth = static_cast<size_t>(number); } },
         { "spare", [](auto& all, double number) { all.spare_above = number; } },
         { "large", [](auto& all, double number) { all.large_share = number; } },
         { "refusal", [](auto& all, double number) { all.refusal_share = number; } },
@@ -76,7 +76,7 @@
     setter->second(constants, value);
 }
 
-/// "forecast:name=value:name=value" varies constants of a policy.
+/// Parses a policy with changed constants: "forecast:name=value:name=value".
 static std::pair<std::string, PolicyConstants> parse_variation(std::string const& policy)
 {
     std::istringstream parts(policy);
@@ -100,9 +100,11 @@
             return std::make_unique<PoolDispatcher<PromptOnlyReservation>>(
                 first_come_constants(), [](PolicyConstants const&) { return PromptOnlyReservation(); });
         if (policy == "least_reported")
-            return std::make_unique<LoneChoice>(LoneChoice::Rule::LeastReported, routers_choosing_alone, seed);
+            return std::make_unique<IndependentRouters>(
+                IndependentRouters::Rule::LeastReported, independent_router_count, seed);
         if (policy == "two_choices")
-            return std::make_unique<LoneChoice>(LoneChoice::Rule::TwoChoices, routers_choosing_alone, seed);
+            return std::make_unique<IndependentRouters>(
+                IndependentRouters::Rule::TwoChoices, independent_router_count, seed);
         if (policy == "divided_2")
             return make_divided(2);
         if (policy == "divided_4")
@@ -126,7 +128,7 @@
     for (auto& traffic : scenario.classes)
         traffic.deadline = 24h;
     auto requests = draw_requests(scenario, flood_rate, capacity_seed);
-    // In order of arrival, so that what is served has the same mix as what arrives.
+    // Serves in order of arrival, so that the served requests have the same mix as the arriving ones.
     auto make_first_come = [](TrueStates const& states) -> std::unique_ptr<Dispatcher> {
         return std::make_unique<PoolDispatcher<ClairvoyantAdmission>>(
             first_come_constants(), [&states](PolicyConstants const&) { return ClairvoyantAdmission(states); });
@@ -144,7 +146,7 @@
 
 std::vector<CellResult> run_cells(std::vector<Cell> const& cells)
 {
-    // Capacity belongs to the plain shape of a workload, so that a fault or a shift does not move the yardstick.
+    // Measures the capacity on the plain workload, so that faults and shifts do not change the unit of load.
     std::map<std::string, double> capacities;
     std::vector<std::string> shapes;
     for (auto const& cell : cells)
--- a/Libraries/LibPolicyBench/Measures.cpp
+++ b/Libraries/LibPolicyBench/Measures.cpp
@@ -10,21 +10,21 @@
 namespace PolicyBench {
 
 static constexpr unsigned bin_count = 2000;
-static constexpr double smallest_seconds = 1e-4;
-static constexpr double largest_seconds = 1e3;
+static constexpr double min_seconds = 1e-4;
+static constexpr double max_seconds = 1e3;
 
-FineHistogram::FineHistogram()
-    : histogram(boost::histogram::make_histogram(Axis(bin_count, smallest_seconds, largest_seconds)))
+DurationHistogram::DurationHistogram()
+    : histogram(boost::histogram::make_histogram(Axis(bin_count, min_seconds, max_seconds)))
 {
 }
 
-void FineHistogram::record(Duration duration)
+void DurationHistogram::record(Duration duration)
 {
-    this->histogram(std::max(AK::to_seconds(duration), smallest_seconds));
+    this->histogram(std::max(AK::to_seconds(duration), min_seconds));
     ++this->total;
 }
 
-double FineHistogram::quantile(double quantile) const
+double DurationHistogram::quantile(double quantile) const
 {
     auto wanted = quantile * static_cast<double>(this->total);
     double cumulative = 0;
--- a/Libraries/LibPolicyBench/Simulation.cpp
+++ b/Libraries/LibPolicyBench/Simulation.cpp
@@ -30,7 +30,7 @@
         this->schedule(this->requests[i].arrival, EventKind::Arrival, i);
     this->schedule(this->now, EventKind::Tick);
     if (scenario.reclaim_notice)
-        this->schedule(Instant() + scenario.length / 2, EventKind::Reclaim, 0);
+        this->schedule(Instant() + scenario.length / 2, EventKind::ReclaimNotice, 0);
 }
 
 void Simulation::schedule(Instant at, EventKind kind, size_t index)
@@ -77,12 +77,12 @@
     case EventKind::Message:
         event.message();
         break;
-    case EventKind::Reclaim:
+    case EventKind::ReclaimNotice:
         this->dispatcher->set_draining(this->engines[event.index].id);
-        this->schedule(this->now + *this->scenario.reclaim_notice, EventKind::EngineGone, event.index);
+        this->schedule(this->now + *this->scenario.reclaim_notice, EventKind::EngineReclaimed, event.index);
         break;
-    case EventKind::EngineGone:
-        this->lose_engine(event.index);
+    case EventKind::EngineReclaimed:
+        this->reclaim_engine(event.index);
         break;
     }
 }
@@ -153,7 +153,7 @@
 void Simulation::begin_step(size_t index)
 {
     auto& engine = this->engines[index];
-    if (engine.is_stepping || engine.is_gone || engine.model.is_idle())
+    if (engine.is_stepping || engine.is_reclaimed || engine.model.is_idle())
         return;
     engine.is_stepping = true;
     engine.step_events.clear();
@@ -165,16 +165,16 @@
 {
     auto& engine = this->engines[index];
     engine.is_stepping = false;
-    if (engine.is_gone)
+    if (engine.is_reclaimed)
         return;
     boost::random::uniform_real_distribution<double> uniform(0, 1);
     for (auto const& event : engine.step_events) {
         switch (event.kind) {
         case EngineModel::StepEventKind::Token:
-            this->take_token(event.key);
+            this->handle_token(event.key);
             break;
         case EngineModel::StepEventKind::Finished:
-            this->take_end(event.key, event.offset);
+            this->handle_end(event.key, event.offset);
             break;
         case EngineModel::StepEventKind::Preempted:
             if (this->is_measured())
@@ -195,7 +195,7 @@
     this->begin_step(index);
 }
 
-void Simulation::take_token(u64 key)
+void Simulation::handle_token(u64 key)
 {
     auto& progress = this->progress[key];
     auto const& request = *progress.request;
@@ -218,7 +218,7 @@
         this->measures.tokens_of_organisation[traffic.organisation] += 1;
 }
 
-void Simulation::take_end(u64 key, i64 produced)
+void Simulation::handle_end(u64 key, i64 produced)
 {
     if (this->is_measured())
         ++this->measures.completions;
@@ -234,7 +234,7 @@
 void Simulation::report(size_t index)
 {
     auto& engine = this->engines[index];
-    if (engine.is_gone)
+    if (engine.is_reclaimed)
         return;
     auto load = engine.model.load();
     Scheduling::LoadReport report { static_cast<double>(load.used_tokens), load.running, load.waiting,
@@ -244,9 +244,9 @@
     this->schedule(this->now + this->scenario.report_period, EventKind::Report, index);
 }
 
-void Simulation::lose_engine(size_t index)
+void Simulation::reclaim_engine(size_t index)
 {
-    this->engines[index].is_gone = true;
+    this->engines[index].is_reclaimed = true;
     std::vector<u64> keys;
     for (auto const& [key, progress] : this->progress) {
         if (progress.engine == index && this->engines[index].model.produced(key))
@@ -258,7 +258,7 @@
         this->dispatcher->finished(id_of(key), progress.attempt, Scheduling::EndReason::Censored,
             TokenCount(this->true_states[id_of(key)].produced), this->now);
         if (progress.has_first_token) {
-            // It can't be continued elsewhere: the caller is told.
+            // No other engine can continue it, so it fails for the caller.
             ++this->measures.lost;
             this->progress.erase(key);
             this->true_states.erase(id_of(key));
--- a/Libraries/LibPolicyBench/Simulation.h
+++ b/Libraries/LibPolicyBench/Simulation.h
@@ -20,7 +20,7 @@
 
 using MakeDispatcher = std::function<std::unique_ptr<Dispatcher>(TrueStates const&)>;
 
-/// One run of one policy on one workload, in virtual time. The same inputs give the same measures on any machine.
+/// Runs one policy on one workload in virtual time. The same inputs give the same measures on any machine.
 class Simulation {
 public:
     Simulation(Scenario const&, std::vector<Request> requests, MakeDispatcher const&, u32 seed);
@@ -30,12 +30,12 @@
     enum class EventKind : u8 {
         Arrival,
         Tick,
-        /// A step of an engine ends.
+        /// The end of a step of an engine.
         StepEnd,
         Report,
         Message,
-        Reclaim,
-        EngineGone,
+        ReclaimNotice,
+        EngineReclaimed,
     };
 
     struct Event {
@@ -54,7 +54,7 @@
         EngineId id;
         EngineModel::Engine model;
         bool is_stepping { false };
-        bool is_gone { false };
+        bool is_reclaimed { false };
         std::vector<EngineModel::StepEvent> step_events {};
     };
 
@@ -76,10 +76,10 @@
     void refused(GenerationId const&);
     void begin_step(size_t engine);
     void end_step(size_t engine);
-    void take_token(u64 key);
-    void take_end(u64 key, i64 produced);
+    void handle_token(u64 key);
+    void handle_end(u64 key, i64 produced);
     void report(size_t engine);
-    void lose_engine(size_t engine);
+    void reclaim_engine(size_t engine);
     [[nodiscard]] bool is_measured() const;
     [[nodiscard]] TrafficClass const& class_of(Request const& request) const
     {
--- a/Libraries/LibRouter/ClaimDesk.cpp
+++ b/Libraries/LibRouter/ClaimHandler.cpp
@@ -5,35 +5,37 @@
  */
 
 #include <LibCore/Clock.h>
-#include <LibRouter/ClaimDesk.h>
+#include <LibRouter/ClaimHandler.h>
 
 namespace Router {
 
-static constexpr size_t largest_batch = 200;
-// A write each period at most, for all domains together by the share of the owners: few beside those of the claims.
+static constexpr size_t max_batch_size = 200;
+// In each failure domain, only the router that owns the key "claims" sweeps. It commits at most one transaction per
+// period, which adds little to the writes of the claims themselves.
 static constexpr Duration sweep_period = 20s;
 static constexpr size_t rows_per_sweep = 500;
 
-ClaimDesk::ClaimDesk(Node::Node& node, Duration period)
+ClaimHandler::ClaimHandler(Node::Node& node, Duration period)
     : node(node)
 {
     node.loop().every(period, [this] { this->flush(); });
     node.loop().every(sweep_period, [this] { this->sweep(); });
 }
 
-void ClaimDesk::receive(wire::ClaimRequest const& request, Address const& sender)
+void ClaimHandler::receive(wire::ClaimRequest const& request, Address const& sender)
 {
-    // A question asked again while its answer is on the way is answered twice, with the same answer: the nonce says so.
+    // A request that is repeated while its response is on the way gets two equal responses, since the nonce is the
+    // same.
     this->waiting.push_back(
         { { OrganisationId(request.organisation()), request.idempotency_key(), request.nonce() }, sender });
 }
 
-void ClaimDesk::receive(wire::ClaimRelease const& release)
+void ClaimHandler::receive(wire::ClaimRelease const& release)
 {
     this->releases.push_back({ OrganisationId(release.organisation()), release.idempotency_key(), release.nonce() });
 }
 
-/// Deletes claims whose calls truly did not run. Best effort: a claim that stays only makes its key unusable.
+/// Deletes claims whose calls are known not to have run. Best effort: a claim that remains only makes its key unusable.
 static void release_claims(Platform::HttpPlatform& platform, std::vector<Platform::Claim> const& claims)
 {
     Platform::Transaction transaction;
@@ -48,12 +50,12 @@
         (void)platform.commit(transaction);
 }
 
-void ClaimDesk::flush()
+void ClaimHandler::flush()
 {
     if (this->is_writing || (this->waiting.empty() && this->releases.empty()))
         return;
     this->is_writing = true;
-    auto count = std::min(this->waiting.size(), largest_batch);
+    auto count = std::min(this->waiting.size(), max_batch_size);
     std::vector<WaitingClaim> batch(this->waiting.begin(), this->waiting.begin() + static_cast<std::ptrdiff_t>(count));
     this->waiting.erase(this->waiting.begin(), this->waiting.begin() + static_cast<std::ptrdiff_t>(count));
     std::vector<Platform::Claim> claims;
@@ -67,10 +69,10 @@
                 release_claims(platform, released);
             return Platform::ClaimBatch(platform, Core::SystemClock().wall_milliseconds()).make(claims);
         },
-        [this, batch](std::vector<Platform::ClaimVerdict> const& verdicts) { this->answer(batch, verdicts); });
+        [this, batch](std::vector<Platform::ClaimVerdict> const& verdicts) { this->respond(batch, verdicts); });
 }
 
-void ClaimDesk::sweep()
+void ClaimHandler::sweep()
 {
     auto const* owner = this->node.owner_of("claims");
     if (!owner || owner->id != this->node.settings().member)
@@ -98,7 +100,7 @@
     return wire::CLAIM_UNKNOWN;
 }
 
-void ClaimDesk::answer(std::vector<WaitingClaim> const& batch, std::vector<Platform::ClaimVerdict> const& verdicts)
+void ClaimHandler::respond(std::vector<WaitingClaim> const& batch, std::vector<Platform::ClaimVerdict> const& verdicts)
 {
     this->is_writing = false;
     this->node.metrics().add("lilac_claims_total", batch.size());
@@ -107,7 +109,7 @@
         wire::Envelope envelope;
         envelope.mutable_claim_reply()->set_nonce(batch[i].claim.nonce);
         envelope.mutable_claim_reply()->set_answer(to_answer(verdicts[i]));
-        this->node.send(batch[i].asker, std::move(envelope));
+        this->node.send(batch[i].requester, std::move(envelope));
     }
 }
 
--- a/Libraries/LibRouter/ClaimDesk.h
+++ b/Libraries/LibRouter/ClaimHandler.h
@@ -12,12 +12,12 @@
 
 namespace Router {
 
-/// Collects the claims of a failure domain and writes them together, one transaction at a time, so that the number of
-/// writes does not grow with the number of calls. Which router does it is not agreed on: two at once only share the
-/// work, since the table decides. Loop thread only.
-class ClaimDesk {
+/// Collects the claims of a failure domain and writes them in batches, one transaction at a time, so that the number of
+/// writes does not grow with the number of calls. Routers do not agree on which one does this: two at once only share
+/// the work, since the platform's table decides each claim. Only for the event loop thread.
+class ClaimHandler {
 public:
-    ClaimDesk(Node::Node&, Duration period);
+    ClaimHandler(Node::Node&, Duration period);
 
     void receive(wire::ClaimRequest const&, Address const& sender);
     void receive(wire::ClaimRelease const&);
@@ -25,12 +25,12 @@
 private:
     struct WaitingClaim {
         Platform::Claim claim;
-        Address asker;
+        Address requester;
     };
 
     void flush();
     void sweep();
-    void answer(std::vector<WaitingClaim> const&, std::vector<Platform::ClaimVerdict> const&);
+    void respond(std::vector<WaitingClaim> const&, std::vector<Platform::ClaimVerdict> const&);
 
     Node::Node& node;
     std::vector<WaitingClaim> waiting;
--- a/Libraries/LibRouter/RouterLoop.cpp
+++ b/Libraries/LibRouter/RouterLoop.cpp
@@ -11,17 +11,17 @@
 
 using Core::EventNumber;
 
-// A generation the engine no longer lists is given up after this long, should its gateway have died.
-static constexpr Duration unlisted_limit = 3s;
-// A pool that was asked about is kept up to date for a while, whoever owns it.
-static constexpr Duration asked_pool_memory = 30s;
+// A generation that its engine does not list is dropped after this time, in case its gateway has died.
+static constexpr Duration unlisted_timeout = 3s;
+// A pool is kept up to date for this long after a request for it, even if another router owns it.
+static constexpr Duration requested_pool_retention = 30s;
 
 static Instant now() { return AK::BootClock::now(); }
 
 RouterLoop::RouterLoop(Node::Node& node, RouterSettings const& settings)
     : node(node)
     , settings(settings)
-    , claim_desk(node, settings.claim_period)
+    , claim_handler(node, settings.claim_period)
     , order_keeper(node, settings)
 {
     node.on_message([this](wire::Envelope const& envelope) { this->receive(envelope); });
@@ -44,7 +44,7 @@
     return *pool;
 }
 
-RouterLoop::Pool* RouterLoop::pool_holding(GenerationId const& generation)
+RouterLoop::Pool* RouterLoop::find_pool_of(GenerationId const& generation)
 {
     auto found = this->pool_of_generation.find(generation);
     return found == this->pool_of_generation.end() ? nullptr : this->pools[found->second].get();
@@ -95,16 +95,19 @@
         if (is_own == pool->is_own)
             continue;
         if (is_own && !is_in_use(*pool))
-            this->take_up(*pool);
+            this->start_polling(*pool);
         pool->is_own = is_own;
         this->node.events().record(
             is_own ? EventNumber::OwnershipTaken : EventNumber::OwnershipGivenUp, model.value(), "pool of this domain");
     }
 }
 
-bool RouterLoop::is_in_use(Pool const& pool) { return pool.is_own || now() - pool.last_asked < asked_pool_memory; }
+bool RouterLoop::is_in_use(Pool const& pool)
+{
+    return pool.is_own || now() - pool.last_requested < requested_pool_retention;
+}
 
-void RouterLoop::take_up(Pool& pool)
+void RouterLoop::start_polling(Pool& pool)
 {
     pool.scheduler.expect_reports(now());
     for (auto& [id, engine] : pool.engines)
@@ -123,25 +126,25 @@
 
 void RouterLoop::poll_engine(Pool& pool, EngineState& engine)
 {
-    if (engine.is_being_asked)
+    if (engine.is_being_polled)
         return;
-    engine.is_being_asked = true;
+    engine.is_being_polled = true;
     this->node.background().submit(
-        [address = engine.record.address, after = engine.cache_sequence, patience = this->settings.engine_patience] {
-            return fetch_report(address, after, patience);
+        [address = engine.record.address, after = engine.cache_sequence, timeout = this->settings.engine_timeout] {
+            return fetch_report(address, after, timeout);
         },
         [this, model = pool.model, id = engine.record.id](
-            Result<EngineReport> const& report) { this->take_report(model, id, report); });
+            Result<EngineReport> const& report) { this->handle_report(model, id, report); });
 }
 
-void RouterLoop::take_report(ModelId const& model, EngineId const& id, Result<EngineReport> const& result)
+void RouterLoop::handle_report(ModelId const& model, EngineId const& id, Result<EngineReport> const& result)
 {
     auto& pool = *this->pools[model];
     auto found = pool.engines.find(id);
     if (found == pool.engines.end())
         return;
     auto& engine = found->second;
-    engine.is_being_asked = false;
+    engine.is_being_polled = false;
     if (!result)
         return;
     auto const& report = result.value();
@@ -154,21 +157,22 @@
     pool.scheduler.load_report(id,
         { report.used_tokens, report.running, report.waiting, report.steps, report.preemptions, report.age }, now());
     if (report.cache_has_gap)
-        pool.scheduler.forget_prefixes(id);
+        pool.scheduler.clear_cached_prefixes(id);
     for (auto const& [hash, is_present] : report.cache_events)
         pool.scheduler.prefix_cached(id, hash, is_present);
     engine.cache_sequence = report.cache_sequence;
     this->drop_unknown_generations(pool, id, report);
     this->order_keeper.engine_reported(engine.record, report.adapters);
-    this->carry_out(pool, pool.scheduler.admit(now()));
+    this->execute(pool, pool.scheduler.admit(now()));
 }
 
 void RouterLoop::drop_unknown_generations(Pool& pool, EngineId const& id, EngineReport const& report)
 {
     std::set<GenerationId> listed(report.generations.begin(), report.generations.end());
-    for (auto const& [generation, attempt] : pool.scheduler.unlisted_since(id, listed, now() - unlisted_limit)) {
+    for (auto const& [generation, attempt] :
+        pool.scheduler.find_unlisted_generations(id, listed, now() - unlisted_timeout)) {
         pool.scheduler.finished(generation, attempt, Scheduling::EndReason::Censored, TokenCount(0), now());
-        pool.askers.erase(generation);
+        pool.requesters.erase(generation);
         this->pool_of_generation.erase(generation);
     }
 }
@@ -184,7 +188,7 @@
         return;
     case wire::Envelope::kStarted: {
         GenerationId generation(envelope.started().generation());
-        if (auto* pool = this->pool_holding(generation))
+        if (auto* pool = this->find_pool_of(generation))
             pool->scheduler.first_token(generation, now());
         return;
     }
@@ -195,10 +199,10 @@
         this->receive(envelope.live_generations());
         return;
     case wire::Envelope::kClaimRequest:
-        this->claim_desk.receive(envelope.claim_request(), sender);
+        this->claim_handler.receive(envelope.claim_request(), sender);
         return;
     case wire::Envelope::kClaimRelease:
-        this->claim_desk.receive(envelope.claim_release());
+        this->claim_handler.receive(envelope.claim_release());
         return;
     default:
         return;
@@ -217,7 +221,7 @@
 {
     OrganisationId organisation_id(request.organisation());
     RouteName route_name(request.route());
-    // Checked here as well as at the gateway, whose configuration may be older.
+    // Checked here as well as at the gateway, because the gateway's configuration may be older.
     auto const* organisation = this->node.configuration().find_organisation(organisation_id);
     auto const* route = this->node.configuration().find_route(organisation_id, route_name);
     if (!organisation || !route) {
@@ -232,8 +236,8 @@
     }
     auto& pool = this->pool_of(ModelId(route->model()));
     if (!is_in_use(pool))
-        this->take_up(pool);
-    pool.last_asked = now();
+        this->start_polling(pool);
+    pool.last_requested = now();
     Scheduling::SubmitRequest submit;
     submit.generation = GenerationId(request.generation());
     submit.attempt = AttemptNumber(request.attempt());
@@ -248,12 +252,12 @@
     submit.deadline = std::chrono::milliseconds(request.deadline_milliseconds());
     for (auto const& engine : request.excluded_engines())
         submit.excluded_engines.emplace_back(engine);
-    pool.askers[submit.generation] = sender;
+    pool.requesters[submit.generation] = sender;
     this->pool_of_generation[submit.generation] = pool.model;
     this->node.metrics().add("lilac_place_requests_total");
     auto was_known = pool.scheduler.knows(submit.generation);
     pool.scheduler.submit(submit, now());
-    this->carry_out(pool, pool.scheduler.admit(now()));
+    this->execute(pool, pool.scheduler.admit(now()));
     if (!pool.scheduler.is_queued(submit.generation))
         return;
     if (!was_known)
@@ -281,18 +285,18 @@
 void RouterLoop::receive(wire::GenerationFinished const& finished)
 {
     GenerationId generation(finished.generation());
-    auto* pool = this->pool_holding(generation);
+    auto* pool = this->find_pool_of(generation);
     if (!pool)
         return;
     pool->scheduler.finished(generation, AttemptNumber(finished.attempt()), to_end_reason(finished.reason()),
         TokenCount(finished.output_tokens()), now());
     if (!pool->scheduler.knows(generation)) {
-        pool->askers.erase(generation);
+        pool->requesters.erase(generation);
         this->pool_of_generation.erase(generation);
         this->node.events().record(EventNumber::GenerationFinished, finished.generation(),
             std::to_string(finished.output_tokens()) + " tokens");
     }
-    this->carry_out(*pool, pool->scheduler.admit(now()));
+    this->execute(*pool, pool->scheduler.admit(now()));
 }
 
 void RouterLoop::receive(wire::LiveGenerations const& live)
@@ -320,13 +324,13 @@
 
 // Actions
 
-void RouterLoop::carry_out(Pool& pool, std::vector<Scheduling::Action> const& actions)
+void RouterLoop::execute(Pool& pool, std::vector<Scheduling::Action> const& actions)
 {
     for (auto const& action : actions)
-        std::visit([&](auto const& kind) { this->carry_out(pool, kind); }, action);
+        std::visit([&](auto const& kind) { this->execute(pool, kind); }, action);
 }
 
-void RouterLoop::carry_out(Pool& pool, Scheduling::PlaceAction const& action)
+void RouterLoop::execute(Pool& pool, Scheduling::PlaceAction const& action)
 {
     wire::Envelope envelope;
     auto* reply = envelope.mutable_place_reply();
@@ -335,12 +339,12 @@
     reply->set_engine(action.engine.value());
     reply->set_engine_address(action.address.value());
     reply->set_priority(action.priority);
-    this->node.send(pool.askers[action.generation], std::move(envelope));
+    this->node.send(pool.requesters[action.generation], std::move(envelope));
     this->node.events().record(
         EventNumber::GenerationPlaced, action.generation.value(), "at " + action.engine.value() + ", " + action.reason);
 }
 
-void RouterLoop::carry_out(Pool& pool, Scheduling::RefuseAction const& action)
+void RouterLoop::execute(Pool& pool, Scheduling::RefuseAction const& action)
 {
     wire::Envelope envelope;
     auto* reply = envelope.mutable_place_reply();
@@ -350,16 +354,16 @@
     reply->set_error_message(action.error.message);
     if (action.error.retry_after)
         reply->set_retry_after_milliseconds(static_cast<u32>(AK::to_milliseconds(*action.error.retry_after)));
-    this->node.send(pool.askers[action.generation], std::move(envelope));
+    this->node.send(pool.requesters[action.generation], std::move(envelope));
     this->node.events().record(EventNumber::GenerationRefused, action.generation.value(), action.error.message);
     this->node.metrics().add("lilac_refusals_total");
-    pool.askers.erase(action.generation);
+    pool.requesters.erase(action.generation);
     this->pool_of_generation.erase(action.generation);
 }
 
-void RouterLoop::note_silent_engines(Pool& pool)
+void RouterLoop::record_silent_engines(Pool& pool)
 {
-    // Only the owner asks engines all the time; to others they are silent as a matter of course.
+    // Only the owner polls the engines continuously. To other routers, they are always silent after a while.
     if (!pool.is_own)
         return;
     for (auto const& row : pool.scheduler.view().engines) {
@@ -373,8 +377,8 @@
 void RouterLoop::tick()
 {
     for (auto& [model, pool] : this->pools) {
-        this->carry_out(*pool, pool->scheduler.tick(now()));
-        this->note_silent_engines(*pool);
+        this->execute(*pool, pool->scheduler.tick(now()));
+        this->record_silent_engines(*pool);
     }
     this->node.metrics().set("lilac_queued_generations", static_cast<double>(this->queued_count()));
 }
--- a/Libraries/LibRouter/RouterLoop.h
+++ b/Libraries/LibRouter/RouterLoop.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <LibNode/Node.h>
-#include <LibRouter/ClaimDesk.h>
+#include <LibRouter/ClaimHandler.h>
 #include <LibRouter/EngineControl.h>
 #include <LibRouter/OrderKeeper.h>
 #include <LibRouter/RouterSettings.h>
@@ -19,14 +19,14 @@
 
 namespace Router {
 
-/// The decisions of one router: a scheduler for each pool (the engines of this failure domain that serve one model).
-/// Which router owns a pool follows from membership; a router that is asked about a pool it does not own answers all
-/// the same. Loop thread only.
+/// Runs a scheduler for each pool (the engines of this failure domain that serve one model). Membership determines
+/// which router owns a pool. A router also handles requests for pools that it does not own. Only for the event loop
+/// thread.
 class RouterLoop {
 public:
     RouterLoop(Node::Node&, RouterSettings const&);
 
-    /// Requests waiting for an engine.
+    /// Number of requests that are waiting for an engine.
     [[nodiscard]] size_t queued_count() const;
 
 private:
@@ -34,7 +34,7 @@
 
     struct EngineState {
         Platform::BackendServerRecord record;
-        bool is_being_asked { false };
+        bool is_being_polled { false };
         u64 cache_sequence { 0 };
         bool is_silent { false };
     };
@@ -49,10 +49,10 @@
         ModelId model;
         Scheduler scheduler;
         std::map<EngineId, EngineState> engines;
-        /// Where each generation's gateway is, and when it was placed.
-        std::unordered_map<GenerationId, Address> askers;
+        /// The address of the gateway that requested each generation.
+        std::unordered_map<GenerationId, Address> requesters;
         bool is_own { false };
-        Instant last_asked;
+        Instant last_requested;
     };
 
     void receive(wire::Envelope const&);
@@ -60,28 +60,28 @@
     void receive(wire::GenerationFinished const&);
     void receive(wire::LiveGenerations const&);
     Pool& pool_of(ModelId const&);
-    Pool* pool_holding(GenerationId const&);
+    Pool* find_pool_of(GenerationId const&);
     void update_engines(Pool&);
     void update_all_engines();
     void update_ownership();
     void poll_engines();
-    /// Whether the pool's engines are asked all the time.
+    /// Whether the pool's engines are polled continuously.
     [[nodiscard]] static bool is_in_use(Pool const&);
-    /// Begins to ask the engines of a pool that was not in use.
-    void take_up(Pool&);
+    /// Begins to poll the engines of a pool that was not in use.
+    void start_polling(Pool&);
     void poll_engine(Pool&, EngineState&);
-    void take_report(ModelId const&, EngineId const&, Result<EngineReport> const&);
+    void handle_report(ModelId const&, EngineId const&, Result<EngineReport> const&);
     void drop_unknown_generations(Pool&, EngineId const&, EngineReport const&);
-    void carry_out(Pool&, std::vector<Scheduling::Action> const&);
-    void carry_out(Pool&, Scheduling::PlaceAction const&);
-    void carry_out(Pool&, Scheduling::RefuseAction const&);
-    void note_silent_engines(Pool&);
+    void execute(Pool&, std::vector<Scheduling::Action> const&);
+    void execute(Pool&, Scheduling::PlaceAction const&);
+    void execute(Pool&, Scheduling::RefuseAction const&);
+    void record_silent_engines(Pool&);
     void tick();
 
     Node::Node& node;
     RouterSettings const& settings;
     Scheduling::PolicyConstants constants;
-    ClaimDesk claim_desk;
+    ClaimHandler claim_handler;
     OrderKeeper order_keeper;
     std::map<ModelId, std::unique_ptr<Pool>> pools;
     std::unordered_map<GenerationId, ModelId> pool_of_generation;
--- a/Libraries/LibScheduling/PoolBook.cpp
+++ b/Libraries/LibScheduling/PoolState.cpp
@@ -4,14 +4,14 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibScheduling/PoolBook.h>
+#include <LibScheduling/PoolState.h>
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
 namespace Scheduling {
 
-void PoolBook::put_engine(EngineId const& id, Address const& address, double capacity, Instant now)
+void PoolState::put_engine(EngineId const& id, Address const& address, double capacity, Instant now)
 {
     if (auto* known = find_engine(this->tables, id)) {
         known->address = address;
@@ -28,7 +28,7 @@
     this->tables.engines.push_back(std::move(row));
 }
 
-void PoolBook::remove_engine(EngineId const& id)
+void PoolState::remove_engine(EngineId const& id)
 {
     auto found = this->tables.engine_of_id.find(id);
     if (found == this->tables.engine_of_id.end())
@@ -36,10 +36,10 @@
     auto index = found->second;
     auto running = this->tables.engines[index].generations;
     for (auto generation : running) {
-        leave_engine(generation);
+        detach_from_engine(generation);
         remove_generation(this->tables, generation);
     }
-    // The last row takes the place of the one removed.
+    // Moves the last row into the place of the removed one.
     auto last = static_cast<EngineIndex>(this->tables.engines.size() - 1);
     this->tables.engine_of_id.erase(found);
     if (index != last) {
@@ -51,23 +51,23 @@
     this->tables.engines.pop_back();
 }
 
-void PoolBook::set_draining(EngineId const& id, bool draining)
+void PoolState::set_draining(EngineId const& id, bool draining)
 {
     if (auto* engine = find_engine(this->tables, id))
         engine->draining = draining;
 }
 
-bool PoolBook::is_over_limits(SubmitRequest const& request, OrganisationRow& organisation, Instant now)
+bool PoolState::is_over_limits(SubmitRequest const& request, OrganisationRow& organisation, Instant now)
 {
     if (request.maximum_concurrency > 0
         && organisation.running + organisation.queue.size() >= request.maximum_concurrency)
         return true;
     if (request.maximum_rate <= 0)
         return false;
-    // A token bucket that holds one second's worth, and at least one request.
+    // A token bucket with a capacity of one second's worth of requests, but at least one.
     auto burst = std::max(request.maximum_rate, 1.0);
-    auto earned = AK::to_seconds(now - organisation.rate_updated) * request.maximum_rate;
-    organisation.rate_allowance = std::min(burst, organisation.rate_allowance + earned);
+    auto refill = AK::to_seconds(now - organisation.rate_updated) * request.maximum_rate;
+    organisation.rate_allowance = std::min(burst, organisation.rate_allowance + refill);
     organisation.rate_updated = now;
     if (organisation.rate_allowance < 1)
         return true;
@@ -75,37 +75,37 @@
     return false;
 }
 
-void PoolBook::refuse_new(SubmitRequest const& request, Error error)
+void PoolState::refuse_new(SubmitRequest const& request, Error error)
 {
     this->tables.actions.push_back(RefuseAction { request.generation, request.attempt, std::move(error) });
 }
 
-bool PoolBook::is_large(double prompt) const
+bool PoolState::is_large(double prompt) const
 {
     return std::ranges::any_of(this->tables.engines,
         [&](EngineRow const& engine) { return prompt >= engine.capacity * this->constants.large_share; });
 }
 
-void PoolBook::raise_virtual_time(OrganisationRow& organisation)
+void PoolState::raise_virtual_time(OrganisationRow& organisation)
 {
-    // An organisation that was away does not save up service: it starts level with the least served one that waits.
+    // An idle organisation must not accumulate credit: it starts at the lowest virtual time of the active ones.
     if (!organisation.queue.empty() || organisation.running > 0)
         return;
-    auto least = std::numeric_limits<double>::infinity();
+    auto lowest = std::numeric_limits<double>::infinity();
     for (auto const& other : this->tables.organisations) {
         if (&other != &organisation && (!other.queue.empty() || other.running > 0))
-            least = std::min(least, other.virtual_time);
+            lowest = std::min(lowest, other.virtual_time);
     }
-    if (std::isfinite(least))
-        organisation.virtual_time = std::max(organisation.virtual_time, least);
+    if (std::isfinite(lowest))
+        organisation.virtual_time = std::max(organisation.virtual_time, lowest);
 }
 
-bool PoolBook::answer_repeat(SubmitRequest const& request, GenerationIndex known)
+bool PoolState::handle_duplicate(SubmitRequest const& request, GenerationIndex known)
 {
     auto const& generation = this->tables.generations[known];
     if (request.attempt > generation.attempt)
         return false;
-    // The answer to this very attempt may have been lost; an older attempt needs none.
+    // The response to this attempt may have been lost, so it is sent again. An older attempt needs no response.
     if (request.attempt == generation.attempt && generation.state == GenerationState::Dispatched) {
         auto const& engine = this->tables.engines[generation.engine];
         this->tables.actions.push_back(PlaceAction { generation.id, generation.attempt, engine.id, engine.address,
@@ -114,18 +114,18 @@
     return true;
 }
 
-void PoolBook::submit(SubmitRequest const& request, Instant now)
+void PoolState::submit(SubmitRequest const& request, Instant now)
 {
     if (auto known = find_generation(this->tables, request.generation)) {
-        if (this->answer_repeat(request, *known))
+        if (this->handle_duplicate(request, *known))
             return;
         this->finished(
             request.generation, this->tables.generations[*known].attempt, EndReason::NotStarted, TokenCount(0), now);
     }
-    auto organisation_number = organisation_index(this->tables, request.forecast_key.organisation);
-    auto& organisation = this->tables.organisations[organisation_number];
+    auto organisation_position = organisation_index(this->tables, request.forecast_key.organisation);
+    auto& organisation = this->tables.organisations[organisation_position];
     organisation.weight = request.organisation_weight > 0 ? request.organisation_weight : 1;
-    if (std::ranges::none_of(this->tables.engines, may_soon_take_work)) {
+    if (std::ranges::none_of(this->tables.engines, may_soon_accept_work)) {
         this->refuse_new(request,
             { ErrorKind::NoBackendServer, "no engine of this model takes work here; come back after the time given",
                 2s });
@@ -144,7 +144,7 @@
     GenerationRow row;
     row.id = request.generation;
     row.attempt = request.attempt;
-    row.organisation = organisation_number;
+    row.organisation = organisation_position;
     row.forecast = this->tables.forecasts.index_of(request.forecast_key);
     row.prompt = static_cast<double>(request.prompt.value());
     row.maximum_output = static_cast<double>(request.maximum_output.value());
@@ -155,20 +155,20 @@
     row.excluded_engines = request.excluded_engines;
     row.charged = expected_cost(this->tables, row, mean_step_seconds(this->tables));
 
-    row.reckoned_wait = reckoned_wait(this->tables, organisation_number, row.charged);
-    auto wait = corrected_wait(this->tables, row.reckoned_wait);
-    auto longest_wait = AK::from_seconds(AK::to_seconds(request.deadline) * this->constants.refusal_share);
-    if (this->constants.refuses_by_forecast && wait > longest_wait) {
+    row.estimated_wait = estimated_wait(this->tables, organisation_position, row.charged);
+    auto wait = corrected_wait(this->tables, row.estimated_wait);
+    auto max_wait = AK::from_seconds(AK::to_seconds(request.deadline) * this->constants.refusal_share);
+    if (this->constants.refuses_by_forecast && wait > max_wait) {
         this->refuse_new(request,
             { ErrorKind::Overloaded,
                 "the queue is longer than the deadline allows; come back after the time given, or allow a later one",
-                retry_after(wait - longest_wait) });
+                retry_after(wait - max_wait) });
         return;
     }
     this->enqueue(add_generation(this->tables, std::move(row)));
 }
 
-void PoolBook::enqueue(GenerationIndex index)
+void PoolState::enqueue(GenerationIndex index)
 {
     auto const& generation = this->tables.generations[index];
     auto& queue = this->tables.organisations[generation.organisation].queue;
@@ -179,7 +179,7 @@
     ++this->tables.queued_count;
 }
 
-void PoolBook::first_token(GenerationId const& id, Instant now)
+void PoolState::first_token(GenerationId const& id, Instant now)
 {
     auto index = find_generation(this->tables, id);
     if (!index || this->tables.generations[*index].state != GenerationState::Dispatched)
@@ -195,7 +195,7 @@
     engine.demand_is_stale = true;
 }
 
-void PoolBook::leave_engine(GenerationIndex index)
+void PoolState::detach_from_engine(GenerationIndex index)
 {
     auto const& generation = this->tables.generations[index];
     auto& engine = this->tables.engines[generation.engine];
@@ -206,14 +206,15 @@
     --this->tables.organisations[generation.organisation].running;
 }
 
-void PoolBook::settle_charge(GenerationRow const& generation, double actual_cost)
+void PoolState::settle_charge(GenerationRow const& generation, double actual_cost)
 {
     auto& organisation = this->tables.organisations[generation.organisation];
     organisation.virtual_time += actual_cost / organisation.weight;
     organisation.outstanding = std::max(organisation.outstanding - generation.charged, 0.0);
 }
 
-void PoolBook::finished(GenerationId const& id, AttemptNumber attempt, EndReason reason, TokenCount output, Instant now)
+void PoolState::finished(
+    GenerationId const& id, AttemptNumber attempt, EndReason reason, TokenCount output, Instant now)
 {
     auto index = find_generation(this->tables, id);
     if (!index || this->tables.generations[*index].attempt != attempt)
@@ -236,40 +237,41 @@
     } else {
         this->settle_charge(generation, 0);
     }
-    this->leave_engine(*index);
+    this->detach_from_engine(*index);
     remove_generation(this->tables, *index);
 }
 
-void PoolBook::load_report(EngineId const& id, LoadReport const& report, Instant now)
+void PoolState::load_report(EngineId const& id, LoadReport const& report, Instant now)
 {
     auto* engine = find_engine(this->tables, id);
     if (!engine)
         return;
     if (engine->report && report.steps > engine->report->steps) {
-        auto between = (now - report.age) - (engine->report_received - engine->report->age);
-        auto cadence = AK::to_seconds(between) / (report.steps - engine->report->steps);
-        // An engine that was idle takes no steps: a cadence of seconds says nothing about decoding.
-        constexpr double slowest_cadence = 1;
-        if (cadence > 0 && cadence < slowest_cadence)
-            engine->step_seconds += (cadence - engine->step_seconds) / 2;
+        auto interval = (now - report.age) - (engine->report_received - engine->report->age);
+        auto step_seconds = AK::to_seconds(interval) / (report.steps - engine->report->steps);
+        // An idle engine runs no steps, so an average of seconds per step is not the time of a decoding step.
+        constexpr double max_step_seconds = 1;
+        if (step_seconds > 0 && step_seconds < max_step_seconds)
+            engine->step_seconds += (step_seconds - engine->step_seconds) / 2;
     }
     if (engine->report && report.preemptions > engine->report->preemptions)
         adjust_safety(this->tables, this->constants, report.preemptions - engine->report->preemptions, 0, now);
     auto measured_at = now - report.age;
-    auto believed = 0.0;
-    for (auto const& [at, tokens] : engine->own_usage) {
+    auto estimated_tokens = 0.0;
+    for (auto const& [at, tokens] : engine->usage_history) {
         if (at <= measured_at)
-            believed = tokens;
+            estimated_tokens = tokens;
     }
-    // A tenth of slack: partly filled blocks, and progress that is extrapolated, are not another's work.
-    engine->foreign_tokens = std::max(report.used_tokens - believed * 1.1 - engine->capacity * 0.05, 0.0);
+    // The tolerance of a tenth covers partly filled blocks and extrapolated progress, which are not the work of another
+    // process.
+    engine->foreign_tokens = std::max(report.used_tokens - estimated_tokens * 1.1 - engine->capacity * 0.05, 0.0);
     engine->report = report;
     engine->report_received = now;
     engine->silent = false;
     engine->demand_is_stale = true;
 }
 
-void PoolBook::expect_reports(Instant now)
+void PoolState::expect_reports(Instant now)
 {
     for (auto& engine : this->tables.engines) {
         engine.report_received = now;
@@ -278,7 +280,7 @@
     }
 }
 
-void PoolBook::prefix_cached(EngineId const& id, u64 prefix_hash, bool is_present)
+void PoolState::prefix_cached(EngineId const& id, u64 prefix_hash, bool is_present)
 {
     auto* engine = find_engine(this->tables, id);
     if (!engine)
@@ -289,21 +291,21 @@
         engine->cached_prefixes.erase(prefix_hash);
 }
 
-void PoolBook::forget_prefixes(EngineId const& id)
+void PoolState::clear_cached_prefixes(EngineId const& id)
 {
     if (auto* engine = find_engine(this->tables, id))
         engine->cached_prefixes.clear();
 }
 
-bool PoolBook::knows(GenerationId const& id) const { return find_generation(this->tables, id).has_value(); }
+bool PoolState::knows(GenerationId const& id) const { return find_generation(this->tables, id).has_value(); }
 
-bool PoolBook::is_queued(GenerationId const& id) const
+bool PoolState::is_queued(GenerationId const& id) const
 {
     auto index = find_generation(this->tables, id);
     return index && this->tables.generations[*index].state == GenerationState::Queued;
 }
 
-std::vector<std::pair<GenerationId, AttemptNumber>> PoolBook::unlisted_since(
+std::vector<std::pair<GenerationId, AttemptNumber>> PoolState::find_unlisted_generations(
     EngineId const& id, std::set<GenerationId> const& listed, Instant placed_before) const
 {
     std::vector<std::pair<GenerationId, AttemptNumber>> result;
@@ -318,7 +320,7 @@
     return result;
 }
 
-void PoolBook::rebuild(RunningGeneration const& running, Instant now)
+void PoolState::rebuild(RunningGeneration const& running, Instant now)
 {
     auto* engine = find_engine(this->tables, running.engine);
     if (!engine || find_generation(this->tables, running.generation))
@@ -344,18 +346,18 @@
     engine->demand_is_stale = true;
 }
 
-std::optional<OrganisationIndex> PoolBook::next_organisation(std::vector<bool> const& passed_over) const
+std::optional<OrganisationIndex> PoolState::next_organisation(std::vector<bool> const& skipped) const
 {
     std::optional<OrganisationIndex> best;
     auto comes_before = [&](OrganisationRow const& left, OrganisationRow const& right) {
         if (this->constants.is_fair)
-            return service_level(left) < service_level(right);
+            return normalised_service(left) < normalised_service(right);
         return this->tables.generations[left.queue.front()].arrived
             < this->tables.generations[right.queue.front()].arrived;
     };
     for (OrganisationIndex i = 0; i < this->tables.organisations.size(); ++i) {
         auto const& organisation = this->tables.organisations[i];
-        if (organisation.queue.empty() || passed_over[i])
+        if (organisation.queue.empty() || skipped[i])
             continue;
         if (!best || comes_before(organisation, this->tables.organisations[*best]))
             best = i;
@@ -363,26 +365,26 @@
     return best;
 }
 
-int PoolBook::priority_of(GenerationRow const& generation) const
+int PoolState::priority_of(GenerationRow const& generation) const
 {
-    // When an engine runs out of memory it pauses the lowest priority first: routes that mind a pause least, and
-    // organisations that have had more than others.
+    // An engine that runs out of memory preempts the lowest priority first: routes that weigh pauses least, and
+    // organisations that have received more service than others.
     auto weight = generation.weights.token_gap + generation.weights.preemption;
-    auto least = std::numeric_limits<double>::infinity();
+    auto lowest = std::numeric_limits<double>::infinity();
     for (auto const& organisation : this->tables.organisations) {
         if (organisation.running > 0 || !organisation.queue.empty())
-            least = std::min(least, service_level(organisation));
+            lowest = std::min(lowest, normalised_service(organisation));
     }
     auto const& organisation = this->tables.organisations[generation.organisation];
-    auto is_above_share = service_level(organisation) > least * 1.5;
+    auto is_above_share = normalised_service(organisation) > lowest * 1.5;
     return static_cast<int>(std::lround(weight * 10)) - (is_above_share ? 5 : 0);
 }
 
-void PoolBook::place(GenerationIndex index, EngineIndex engine_index, std::string reason, Instant now)
+void PoolState::place(GenerationIndex index, EngineIndex engine_index, std::string reason, Instant now)
 {
     dequeue(this->tables, index);
     auto& generation = this->tables.generations[index];
-    learn_wait(this->tables, generation, now);
+    update_wait_correction(this->tables, generation, now);
     auto& organisation = this->tables.organisations[generation.organisation];
     auto& engine = this->tables.engines[engine_index];
     organisation.outstanding += generation.charged;
@@ -400,7 +402,7 @@
         this->priority_of(generation), std::move(reason) });
 }
 
-bool PoolBook::has_waited_long(GenerationRow const& generation, Instant now) const
+bool PoolState::has_waited_long(GenerationRow const& generation, Instant now) const
 {
     auto waited = AK::to_seconds(now - generation.arrived);
     return waited >= AK::to_seconds(generation.deadline - generation.arrived) * this->constants.bypass_share;
--- a/Libraries/LibScheduling/Systems.cpp
+++ b/Libraries/LibScheduling/Systems.cpp
@@ -10,17 +10,17 @@
 
 namespace Scheduling {
 
-static constexpr Duration shortest_retry = 1s;
-static constexpr Duration longest_retry = 60s;
-// Memory is never full on average: prompts do not fit exactly and a margin is kept.
+static constexpr Duration min_retry_after = 1s;
+static constexpr Duration max_retry_after = 60s;
+// Memory is never full on average, since prompts do not fit exactly and a safety margin stays free.
 static constexpr double usable_memory_share = 0.8;
 
-bool may_soon_take_work(EngineRow const& engine) { return !engine.draining && !engine.silent; }
+bool may_soon_accept_work(EngineRow const& engine) { return !engine.draining && !engine.silent; }
 
-bool takes_new_work(EngineRow const& engine)
+bool accepts_new_work(EngineRow const& engine)
 {
-    // Before its first report nothing is known of what others have placed on it.
-    return may_soon_take_work(engine) && engine.report;
+    // Before the first report, work that other processes placed on the engine is unknown.
+    return may_soon_accept_work(engine) && engine.report;
 }
 
 static void advance_generation(Tables& tables, GenerationRow& generation, double engine_steps)
@@ -28,7 +28,7 @@
     if (generation.state != GenerationState::Decoding)
         return;
     auto produced = generation.produced_before + engine_steps - generation.steps_at_first_token;
-    // A generation cannot pass its maximum; one that seems to is about to finish.
+    // A generation cannot exceed its maximum. If the extrapolation does, it is about to finish.
     generation.produced = std::clamp(produced, generation.produced, std::max(generation.maximum_output - 1, 1.0));
     auto bin = LengthBins::index(generation.produced);
     if (bin > generation.bin) {
@@ -58,29 +58,28 @@
 void adjust_safety(Tables& tables, PolicyConstants const& constants, double preemptions, double finished, Instant now)
 {
     auto change = preemptions;
-    if (tables.last_short_of_memory && now - *tables.last_short_of_memory < constants.shortage_memory)
+    if (tables.last_memory_shortage && now - *tables.last_memory_shortage < constants.shortage_duration)
         change -= finished * constants.target_preemptions_per_generation;
     tables.safety_deviations = std::clamp(
-        tables.safety_deviations + constants.safety_gain * change, constants.smallest_safety, constants.largest_safety);
+        tables.safety_deviations + constants.safety_gain * change, constants.min_safety, constants.max_safety);
 }
 
-Duration corrected_wait(Tables const& tables, Duration reckoned)
+Duration corrected_wait(Tables const& tables, Duration estimated)
 {
-    return AK::from_seconds(AK::to_seconds(reckoned) * tables.wait_correction);
+    return AK::from_seconds(AK::to_seconds(estimated) * tables.wait_correction);
 }
 
-void learn_wait(Tables& tables, GenerationRow const& generation, Instant now)
+void update_wait_correction(Tables& tables, GenerationRow const& generation, Instant now)
 {
-    constexpr Duration shortest_telling_wait = 100ms;
+    constexpr Duration min_meaningful_wait = 100ms;
     constexpr double learning_rate = 0.02;
-    constexpr double smallest_correction = 0.5;
-    constexpr double largest_correction = 10;
-    if (generation.reckoned_wait < shortest_telling_wait)
+    constexpr double min_correction = 0.5;
+    constexpr double max_correction = 10;
+    if (generation.estimated_wait < min_meaningful_wait)
         return;
-    auto ratio = AK::to_seconds(now - generation.arrived) / AK::to_seconds(generation.reckoned_wait);
-    auto moved
-        = tables.wait_correction + learning_rate * (std::min(ratio, largest_correction) - tables.wait_correction);
-    tables.wait_correction = std::max(moved, smallest_correction);
+    auto ratio = AK::to_seconds(now - generation.arrived) / AK::to_seconds(generation.estimated_wait);
+    auto updated = tables.wait_correction + learning_rate * (std::min(ratio, max_correction) - tables.wait_correction);
+    tables.wait_correction = std::max(updated, min_correction);
 }
 
 void dequeue(Tables& tables, GenerationIndex index)
@@ -103,7 +102,7 @@
     remove_generation(tables, index);
 }
 
-Duration retry_after(Duration expected_wait) { return std::clamp(expected_wait, shortest_retry, longest_retry); }
+Duration retry_after(Duration expected_wait) { return std::clamp(expected_wait, min_retry_after, max_retry_after); }
 
 void expire_queue(Tables& tables, Instant now)
 {
@@ -116,9 +115,9 @@
     }
     for (auto index : expired) {
         auto organisation = tables.generations[index].organisation;
-        learn_wait(tables, tables.generations[index], now);
+        update_wait_correction(tables, tables.generations[index], now);
         dequeue(tables, index);
-        auto wait = corrected_wait(tables, reckoned_wait(tables, organisation, 0));
+        auto wait = corrected_wait(tables, estimated_wait(tables, organisation, 0));
         refuse(tables, index,
             { ErrorKind::DeadlineUnreachable,
                 "no engine had room before the deadline; come back after the time given, or allow a later deadline",
@@ -165,7 +164,7 @@
     double sum = 0;
     double count = 0;
     for (auto const& engine : tables.engines) {
-        if (!takes_new_work(engine))
+        if (!accepts_new_work(engine))
             continue;
         sum += engine.step_seconds;
         ++count;
@@ -173,29 +172,29 @@
     return count > 0 ? sum / count : EngineRow().step_seconds;
 }
 
-double service_level(OrganisationRow const& organisation)
+double normalised_service(OrganisationRow const& organisation)
 {
     return organisation.virtual_time + organisation.outstanding / organisation.weight;
 }
 
-Duration reckoned_wait(Tables const& tables, OrganisationIndex organisation, double own_cost)
+Duration estimated_wait(Tables const& tables, OrganisationIndex organisation, double own_cost)
 {
     double capacity = 0;
     for (auto const& engine : tables.engines) {
-        if (may_soon_take_work(engine))
+        if (may_soon_accept_work(engine))
             capacity += engine.capacity * usable_memory_share;
     }
     if (capacity <= 0)
-        return longest_retry;
+        return max_retry_after;
     auto const& own = tables.organisations[organisation];
-    auto own_level = service_level(own) + (own.queued_cost + own_cost) / own.weight;
+    auto own_service = normalised_service(own) + (own.queued_cost + own_cost) / own.weight;
     auto ahead = own.queued_cost;
     for (auto const& other : tables.organisations) {
         if (&other == &own || other.queue.empty())
             continue;
-        // What the other may be served before its virtual time passes the level at which this request's turn comes.
-        auto before_own_turn = std::max(own_level - service_level(other), 0.0) * other.weight;
-        ahead += std::min(other.queued_cost, before_own_turn);
+        // The service that the other may receive before its virtual time exceeds that at which this request is next.
+        auto served_before = std::max(own_service - normalised_service(other), 0.0) * other.weight;
+        ahead += std::min(other.queued_cost, served_before);
     }
     return AK::from_seconds(ahead / capacity);
 }
--- a/Libraries/LibServing/AllowanceShare.h
+++ b/Libraries/LibServing/AllowanceShare.h
@@ -6,15 +6,15 @@
 
 #pragma once
 
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <LibServing/RetryBudget.h>
 
 namespace Serving {
 
-/// Tells the budget how many hosts share the allowance, by what this host knows of the others.
-inline void share_allowance(RetryBudget& budget, Reach const& reach, Instant now)
+/// Passes the number of known hosts to the budget, which divides the allowance among them.
+inline void share_allowance(RetryBudget& budget, Reachability const& reachability, Instant now)
 {
-    budget.set_sharing_hosts(reach.fleet_size(now), now);
+    budget.set_sharing_hosts(reachability.fleet_size(now), now);
 }
 
 }
--- a/Libraries/LibServing/BackendTable.cpp
+++ b/Libraries/LibServing/BackendTable.cpp
@@ -11,24 +11,25 @@
 
 namespace Serving {
 
-/// Weight of the newest request in the moving share of failures: some twenty requests count, about two seconds of one
-/// backend server's share on a host.
+/// Weight of the newest request in the moving average of failures: the average covers about twenty requests, which a
+/// host sends to one backend server in about two seconds.
 static constexpr double newest_request_weight = 0.05;
-/// How long a backend server is avoided after one failed connection; doubles with each further one.
-static constexpr Duration first_avoidance = 250ms;
-static constexpr Duration longest_avoidance = 2s;
-/// Failed answers in a row before a reachable backend server is avoided as well.
-static constexpr u32 tolerated_failures_in_a_row = 3;
+/// How long a backend server is avoided after one failed connection; doubles with each further failure.
+static constexpr Duration initial_avoidance = 250ms;
+static constexpr Duration max_avoidance = 2s;
+/// Consecutive failed responses after which a reachable backend server is avoided as well.
+static constexpr u32 max_tolerated_failures = 3;
 
-/// One host that cannot connect may itself be cut off; two that cannot are believed.
-static constexpr i64 hosts_that_are_believed = 2;
+/// Number of hosts that must report failed connections before a backend server is avoided: a single host may itself be
+/// partitioned.
+static constexpr i64 min_reporting_hosts = 2;
 
-/// A backend server may go off the list without a word and run on for about as long as one that announces its end, and
-/// at times some seconds more.
-static constexpr Duration longest_run_after_departure = 5s;
+/// A backend server may be removed from the list without notice. It then keeps running for about as long as one that
+/// announces that it is leaving, and sometimes for some seconds more.
+static constexpr Duration max_run_time_after_removal = 5s;
 
-/// For how long a process that has said that it leaves can be about to end, though it is off the list.
-static constexpr Duration leaving_kept_for = 1h;
+/// How long a process that has announced that it is leaving may still run after its removal from the list.
+static constexpr Duration leaving_retention = 1h;
 
 std::string_view to_string(Availability availability)
 {
@@ -37,49 +38,49 @@
         return "serving";
     case Availability::Leaving:
         return "leaving";
-    case Availability::Gone:
+    case Availability::Removed:
         return "gone";
     }
     VERIFY(false);
 }
 
-BackendPointer BackendTable::update(BackendServer const& told, Instant now)
+BackendPointer BackendTable::update(BackendServer const& entry, Instant now)
 {
-    auto endpoint = Http::parse_endpoint(told.address.value());
+    auto endpoint = Http::parse_endpoint(entry.address.value());
     if (!endpoint)
         return nullptr;
-    auto server = told;
+    auto server = entry;
     auto known = this->find(server.id);
-    // An entry that does not tell its start is about the one that is known: it may say that this one leaves.
+    // An entry without a start refers to the known start, and may mark it as leaving.
     if (known && server.start == ServerStart(0))
         server.start = known->server.start;
     if (server.start < this->latest_start_of(server.id))
         return nullptr;
     if (known && known->server == server)
         return nullptr;
-    bool const is_another = known && (known->server.service != server.service || known->server.start < server.start);
-    if (is_another) {
+    bool const is_replaced = known && (known->server.service != server.service || known->server.start < server.start);
+    if (is_replaced) {
         this->remove(server.id, now);
         known = nullptr;
     }
-    // The process that had the id before has ended: there is nothing more to ask it.
-    if (auto former = this->departed.find(server.id);
-        former != this->departed.end() && former->second.backend->server.start < server.start)
-        this->departed.erase(former);
+    // The earlier process with this id has terminated and need not be polled any more.
+    if (auto former = this->recently_removed.find(server.id);
+        former != this->recently_removed.end() && former->second.backend->server.start < server.start)
+        this->recently_removed.erase(former);
     if (!known) {
         known = std::make_shared<Backend>();
         known->available_since = now;
         this->by_id[server.id] = known;
         this->by_service[server.service].push_back(known);
     }
-    // Elsewhere it may live on.
-    known->has_ended = known->has_ended && known->server.address == server.address;
+    // At another address the server may still be running.
+    known->has_terminated = known->has_terminated && known->server.address == server.address;
     known->server = server;
     known->endpoint = *endpoint;
     known->cold_until = now + server.warm_up_left;
     known->is_evacuated = this->evacuated.contains(server.failure_domain);
-    this->restore_own_word(*known);
-    // Leaving is final: a list that is behind must not bring a backend server back.
+    this->restore_reported_state(*known);
+    // Leaving is final: an outdated list must not make the backend server available again.
     if (server.is_leaving && known->availability == Availability::Serving)
         known->availability = Availability::Leaving;
     return known;
@@ -91,32 +92,32 @@
     if (found == this->by_id.end())
         return nullptr;
     auto entry = found->second;
-    entry->availability = Availability::Gone;
+    entry->availability = Availability::Removed;
     std::erase(this->by_service[entry->server.service], entry);
     this->by_id.erase(found);
-    this->keep_own_word(*entry, now);
-    this->departed[id] = { entry, now };
+    this->keep_reported_state(*entry, now);
+    this->recently_removed[id] = { entry, now };
     return entry;
 }
 
-void BackendTable::keep_own_word(Backend const& backend, Instant now)
+void BackendTable::keep_reported_state(Backend const& backend, Instant now)
 {
     auto kept_until = backend.back_off_until;
-    if (backend.has_said_it_leaves)
-        kept_until = std::max(kept_until, now + leaving_kept_for);
+    if (backend.has_announced_leaving)
+        kept_until = std::max(kept_until, now + leaving_retention);
     if (now < kept_until)
-        this->own_words[backend.server.id]
-            = { backend.server.start, backend.back_off_until, backend.has_said_it_leaves, kept_until };
+        this->reported_states[backend.server.id]
+            = { backend.server.start, backend.back_off_until, backend.has_announced_leaving, kept_until };
 }
 
-void BackendTable::restore_own_word(Backend& backend) const
+void BackendTable::restore_reported_state(Backend& backend) const
 {
-    auto kept = this->own_words.find(backend.server.id);
-    if (kept == this->own_words.end() || !backend.is_start(kept->second.start))
+    auto saved = this->reported_states.find(backend.server.id);
+    if (saved == this->reported_states.end() || !backend.matches_start(saved->second.start))
         return;
-    backend.back_off_until = std::max(backend.back_off_until, kept->second.back_off_until);
-    if (kept->second.has_said_it_leaves)
-        backend.note_own_word_to_leave();
+    backend.back_off_until = std::max(backend.back_off_until, saved->second.back_off_until);
+    if (saved->second.has_announced_leaving)
+        backend.record_leaving();
 }
 
 void BackendTable::set_evacuated(FailureDomainId const& domain, bool is_evacuated)
@@ -147,28 +148,28 @@
 {
     if (auto listed = this->find(id))
         return listed;
-    auto found = this->departed.find(id);
-    return found == this->departed.end() ? nullptr : found->second.backend;
+    auto found = this->recently_removed.find(id);
+    return found == this->recently_removed.end() ? nullptr : found->second.backend;
 }
 
 std::vector<BackendPointer> BackendTable::running() const
 {
     std::vector<BackendPointer> all;
-    all.reserve(this->by_id.size() + this->departed.size());
+    all.reserve(this->by_id.size() + this->recently_removed.size());
     for (auto const& [id, backend] : this->by_id)
         all.push_back(backend);
-    for (auto const& [id, entry] : this->departed) {
+    for (auto const& [id, entry] : this->recently_removed) {
         if (!this->by_id.contains(id))
             all.push_back(entry.backend);
     }
     return all;
 }
 
-void BackendTable::forget_ended(Instant now)
+void BackendTable::expire_removed(Instant now)
 {
-    std::erase_if(
-        this->departed, [now](auto const& entry) { return now - entry.second.at > longest_run_after_departure; });
-    std::erase_if(this->own_words, [now](auto const& entry) { return entry.second.kept_until <= now; });
+    std::erase_if(this->recently_removed,
+        [now](auto const& entry) { return now - entry.second.at > max_run_time_after_removal; });
+    std::erase_if(this->reported_states, [now](auto const& entry) { return entry.second.kept_until <= now; });
 }
 
 BackendPointer BackendTable::find(EngineId const& id) const
@@ -184,18 +185,18 @@
     return found == this->by_service.end() ? none : found->second;
 }
 
-std::shared_ptr<Backend::EndObserver> Backend::observe_end(EndObserver observer)
+std::shared_ptr<Backend::TerminationObserver> Backend::observe_termination(TerminationObserver observer)
 {
-    std::erase_if(this->end_observers, [](auto const& known) { return known.expired(); });
-    auto token = std::make_shared<EndObserver>(std::move(observer));
-    this->end_observers.push_back(token);
+    std::erase_if(this->termination_observers, [](auto const& known) { return known.expired(); });
+    auto token = std::make_shared<TerminationObserver>(std::move(observer));
+    this->termination_observers.push_back(token);
     return token;
 }
 
-void Backend::tell_end()
+void Backend::notify_termination()
 {
-    // Observers may begin to observe this or another backend server.
-    auto const observers = std::exchange(this->end_observers, {});
+    // An observer may register further observers with this or another backend server.
+    auto const observers = std::exchange(this->termination_observers, {});
     for (auto const& observer : observers) {
         if (auto held = observer.lock())
             (*held)();
@@ -204,49 +205,48 @@
 
 bool Backend::is_avoided(Instant now) const
 {
-    if (now < this->health.avoid_until || now < this->health.refused_until)
+    if (now < this->health.avoid_until || now < this->health.refusal_avoidance_until)
         return true;
-    auto others
-        = std::ranges::count_if(this->health.told_avoidance, [now](auto const& told) { return now < told.second; });
-    return others >= hosts_that_are_believed;
+    auto reporting_hosts
+        = std::ranges::count_if(this->health.peer_avoidance, [now](auto const& report) { return now < report.second; });
+    return reporting_hosts >= min_reporting_hosts;
 }
 
-std::optional<Duration> shortest_back_off(std::span<BackendPointer const> candidates, Instant now)
+std::optional<Duration> min_back_off(std::span<BackendPointer const> candidates, Instant now)
 {
-    std::optional<Duration> shortest;
+    std::optional<Duration> min_left;
     for (auto const& candidate : candidates) {
         auto const left = candidate->back_off_left(now);
         if (candidate->takes_work() && left > 0s)
-            shortest = std::min(shortest.value_or(left), left);
+            min_left = std::min(min_left.value_or(left), left);
     }
-    return shortest;
+    return min_left;
 }
 
-void note_success(Backend& backend)
+void record_success(Backend& backend)
 {
-    backend.health.told_avoidance.clear();
-    backend.health.failures_in_a_row = 0;
+    backend.health.peer_avoidance.clear();
+    backend.health.consecutive_failures = 0;
     backend.health.avoid_until = {};
-    backend.health.refusals_in_a_row = 0;
-    backend.health.refused_until = {};
+    backend.health.consecutive_refusals = 0;
+    backend.health.refusal_avoidance_until = {};
     backend.health.unreachable_at = {};
     backend.health.failure_share *= 1 - newest_request_weight;
 }
 
-Duration note_failure(Backend& backend, Instant now, bool is_unreachable)
+Duration record_failure(Backend& backend, Instant now, bool is_unreachable)
 {
     auto& health = backend.health;
     health.failure_share += (1 - health.failure_share) * newest_request_weight;
-    ++health.failures_in_a_row;
+    ++health.consecutive_failures;
     if (is_unreachable)
         health.unreachable_at = now;
-    auto counted = is_unreachable ? health.failures_in_a_row
-        : health.failures_in_a_row > tolerated_failures_in_a_row
-        ? health.failures_in_a_row - tolerated_failures_in_a_row
-        : 0;
+    auto counted = is_unreachable                              ? health.consecutive_failures
+        : health.consecutive_failures > max_tolerated_failures ? health.consecutive_failures - max_tolerated_failures
+                                                               : 0;
     if (counted == 0)
         return 0s;
-    auto avoidance = std::min(longest_avoidance, first_avoidance * (1 << std::min(counted - 1, 4U)));
+    auto avoidance = std::min(max_avoidance, initial_avoidance * (1 << std::min(counted - 1, 4U)));
     health.avoid_until = now + avoidance;
     return avoidance;
 }
