--- a/StandIns/PlatformStore/PlatformStore.h
+++ b/StandIns/PlatformStore/PlatformStore.h
@@ -12,17 +12,17 @@
 #include <list>
 #include <map>
 
-namespace StandIn {
+namespace StandIns {
 
-/// The platform's metadata store as PROTOCOL describes it, as far as hosts use it: GET /rows-get, GET /rows-feed with
-/// waiting, and POST /rows-tx. Runs on the loop of whoever makes it, and takes faults.
+/// Simulates the part of the platform's metadata store (see PROTOCOL) that hosts use: GET /rows-get, GET /rows-feed
+/// with long polling, and POST /rows-tx. Runs on its owner's event loop. Supports fault injection.
 class PlatformStore {
 public:
     enum class Mode : u8 {
         Serving,
-        /// Takes connections and requests, and says nothing.
+        /// Accepts connections and requests, but never responds.
         Silent,
-        /// Answers 503 to everything.
+        /// Responds to every request with status 503.
         Busy,
     };
 
@@ -33,13 +33,13 @@
     [[nodiscard]] std::map<std::string, std::string> rows(std::string const& table) const;
 
     void set_mode(Mode);
-    /// Changes before now cannot be followed any more, and whoever waits for some is told so.
-    void forget_history();
-    /// Answers the next requests with the state of this many versions ago.
-    void set_behind(u64 versions) { this->behind = versions; }
+    /// Discards all earlier changes. Requests for them, including waiting ones, get the status 410 (Gone).
+    void discard_history();
+    /// Makes the following responses state a version that is this many versions behind the latest one.
+    void set_version_lag(u64 versions) { this->version_lag = versions; }
 
     [[nodiscard]] u64 call_count() const { return this->calls; }
-    [[nodiscard]] u64 version() const { return this->newest; }
+    [[nodiscard]] u64 version() const { return this->latest_version; }
 
 private:
     struct Row {
@@ -54,20 +54,20 @@
         std::shared_ptr<AK::Timer> timer;
     };
 
-    void take(std::shared_ptr<Http::Exchange> const&);
-    void answer_rows(Http::Exchange&, std::string const& table, std::string const& from);
+    void handle_request(std::shared_ptr<Http::Exchange> const&);
+    void send_rows(Http::Exchange&, std::string const& table, std::string const& from);
     void follow(std::shared_ptr<Http::Exchange> const&, std::string const& table, u64 after, u64 wait_milliseconds);
     void commit(Http::Exchange&);
-    bool answer_changes(Http::Exchange&, std::string const& table, u64 after, bool is_last_chance);
+    bool send_changes(Http::Exchange&, std::string const& table, u64 after, bool allows_empty);
     void serve_waiting();
-    static void answer(Http::Exchange&, Http::Status, std::string body);
+    static void send_response(Http::Exchange&, Http::Status, std::string body);
 
     Http::asio::io_context& loop;
     Mode mode { Mode::Serving };
     std::map<std::string, std::map<std::string, Row>> tables;
-    u64 newest { 1 };
+    u64 latest_version { 1 };
     u64 oldest_followed { 0 };
-    u64 behind { 0 };
+    u64 version_lag { 0 };
     u64 calls { 0 };
     std::list<Waiting> waiting;
     std::vector<std::shared_ptr<Http::Exchange>> unanswered;
--- a/Tests/Hosts/PressedServers.h
+++ b/Tests/Hosts/LoadedServers.h
@@ -10,10 +10,10 @@
 
 namespace Test {
 
-/// Callers that press on three hosts before a few backend servers of one service.
-class PressedServers {
+/// A few backend servers of one service under load from callers at three hosts.
+class LoadedServers {
 public:
-    /// Requests of a host that reached a server.
+    /// A request of a host that reached a server.
     struct Arrival {
         size_t host;
         Instant moment;
@@ -21,8 +21,8 @@
         Instant sent_at;
     };
 
-    /// `path`: of the route that callers use.
-    PressedServers(int count, std::string service, std::string path)
+    /// `path`: a path on the route that callers use.
+    LoadedServers(int count, std::string service, std::string path)
         : path(std::move(path))
     {
         for (int i = 0; i < count; ++i) {
@@ -38,14 +38,14 @@
         this->hosts.start();
     }
 
-    /// Each host gets 20 requests a second.
-    void press(Duration span)
+    /// Sends 20 requests a second to each host.
+    void apply_load(Duration span)
     {
         auto const end = AK::BootClock::now() + span;
         while (AK::BootClock::now() < end) {
             for (size_t host = 0; host < this->hosts.size(); ++host)
                 this->send(host);
-            this->hosts.pass(50ms);
+            this->hosts.run_for(50ms);
         }
     }
     void send(size_t host)
@@ -63,29 +63,29 @@
         return static_cast<size_t>(
             std::ranges::count_if(this->arrivals[server], [&](auto const& arrival) { return arrival.moment >= from; }));
     }
-    /// The most that a server got in any window that ended after `from`.
-    [[nodiscard]] size_t most_in_window(size_t server, Instant from, Duration window)
+    /// Maximum number of requests that a server got in any window that ended after `from`.
+    [[nodiscard]] size_t max_in_window(size_t server, Instant from, Duration window)
     {
         auto const& all = this->arrivals[server];
-        size_t most = 0;
+        size_t max = 0;
         size_t first = 0;
         for (size_t last = 0; last < all.size(); ++last) {
             while (all[last].moment - all[first].moment >= window)
                 ++first;
             if (all[last].moment >= from)
-                most = std::max(most, last - first + 1);
+                max = std::max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
-    [[nodiscard]] size_t answered(unsigned status) const
+    [[nodiscard]] size_t count_with_status(unsigned status) const
     {
         return static_cast<size_t>(
             std::ranges::count_if(this->calls, [&](auto const& call) { return call->status == status; }));
     }
-    [[nodiscard]] size_t asked() const { return this->calls.size(); }
+    [[nodiscard]] size_t call_count() const { return this->calls.size(); }
     [[nodiscard]] std::vector<std::shared_ptr<Call>> const& all_calls() const { return this->calls; }
-    void forget_calls() { this->calls.clear(); }
-    void await_answers()
+    void clear_calls() { this->calls.clear(); }
+    void await_responses()
     {
         this->hosts.platform.until(
             [this] { return std::ranges::all_of(this->calls, [](auto const& call) { return call->is_over(); }); });
--- a/Tests/LibDelivery/TestEventStream.cpp
+++ b/Tests/LibDelivery/TestEventStream.cpp
@@ -13,7 +13,7 @@
 
 static std::string event(u64 number) { return "id: " + std::to_string(number) + "\ndata: word\n\n"; }
 
-SCENARIO("a stream of bytes is cut into whole events")
+SCENARIO("a byte stream is split into complete events")
 {
     EventStreamReader reader;
     GIVEN("an event in two pieces")
@@ -39,12 +39,12 @@
     }
     GIVEN("an event that never ends")
     {
-        reader.feed(std::string(EventStreamReader::largest_event_bytes + 1, 'x'));
+        reader.feed(std::string(EventStreamReader::max_event_bytes + 1, 'x'));
         CHECK(reader.is_oversized());
     }
 }
 
-SCENARIO("cutting a stream anywhere gives the same events")
+SCENARIO("the events do not depend on how the stream is split into pieces")
 {
     rc::prop("any cut", [](std::vector<u8> const& cuts) {
         std::string stream;
@@ -56,8 +56,8 @@
         size_t next_cut = 0;
         while (position < stream.size()) {
             size_t length = cuts.empty() ? stream.size() : 1 + cuts[next_cut++ % cuts.size()] % 40;
-            for (auto const& whole : reader.feed(std::string_view(stream).substr(position, length)))
-                joined += whole.text;
+            for (auto const& complete : reader.feed(std::string_view(stream).substr(position, length)))
+                joined += complete.text;
             position += length;
         }
         RC_ASSERT(joined == stream);
--- a/Tests/LibHttp/CallerFixture.h
+++ b/Tests/LibHttp/CallerFixture.h
@@ -7,25 +7,25 @@
 #pragma once
 
 #include <LibHttp/CallerServer.h>
-#include <Tests/LibHttp/KeptCaller.h>
+#include <Tests/LibHttp/PersistentCaller.h>
 #include <Tests/Support/Endpoints.h>
 #include <Tests/Support/LoopWait.h>
 #include <list>
 
 namespace Http::Test {
 
-/// As many as were lost together when it was seen.
+/// The number of requests that were lost together in the observed failure.
 inline constexpr size_t caller_count = 15;
-/// Far longer than a busy machine lets a test wait for its turn.
+/// Much longer than a busy machine delays a test.
 inline constexpr Duration short_idle_timeout = 200ms;
 
-/// A server and callers with a kept connection each, on one loop. Requests are noted when they are taken and answered
-/// when the test says so.
+/// A server and callers with one persistent connection each, on one event loop. Requests are counted when they are
+/// accepted, and responses are sent when the test calls for them.
 struct CallerFixture {
     CallerFixture()
     {
         this->context->on_request = [this](std::shared_ptr<Exchange> exchange) {
-            ++this->taken_count;
+            ++this->accepted_count;
             this->waiting.push_back(std::move(exchange));
         };
         this->context->on_closed = [this](ConnectionClose const& close) { this->closes.push_back(close); };
@@ -36,19 +36,19 @@
     {
         for (size_t i = 0; i < caller_count; ++i) {
             this->callers.emplace_back(this->loop, this->endpoint);
-            this->callers.back().send(KeptCaller::get_request);
+            this->callers.back().send(PersistentCaller::get_request);
         }
         ::Test::run_until(this->loop, [this] { return this->waiting.size() == caller_count; });
-        this->answer_all();
-        ::Test::run_until(this->loop, [this] { return this->answers() == caller_count; });
-        // What is left to do here after an answer has arrived there.
+        this->respond_to_all();
+        ::Test::run_until(this->loop, [this] { return this->responses() == caller_count; });
+        // Runs the server's handlers that are still queued after the callers have received their responses.
         this->settle();
-        this->taken_count = 0;
+        this->accepted_count = 0;
     }
 
-    void wait_for_taken(size_t count)
+    void wait_for_accepted(size_t count)
     {
-        ::Test::run_until(this->loop, [this, count] { return this->taken_count == count; });
+        ::Test::run_until(this->loop, [this, count] { return this->accepted_count == count; });
     }
 
     void send_all(std::string const& bytes)
@@ -57,65 +57,65 @@
             caller.send(bytes);
     }
 
-    void answer_all()
+    void respond_to_all()
     {
         for (auto const& exchange : this->waiting)
-            exchange->answer(Response(Status::ok, http_1_1));
+            exchange->respond(Response(Status::ok, http_1_1));
         this->waiting.clear();
     }
 
-    /// Serves until every caller has its further answer or has lost its connection, and what was queued by then is
-    /// done.
+    /// Serves until every caller has received its second response or lost its connection, then runs the handlers that
+    /// are queued.
     void serve_to_the_end()
     {
         ::Test::run_until(this->loop, [this] {
-            this->answer_all();
+            this->respond_to_all();
             return std::ranges::all_of(
-                this->callers, [](auto& caller) { return caller.answers() == 2 || caller.is_closed(); });
+                this->callers, [](auto& caller) { return caller.responses() == 2 || caller.is_closed(); });
         });
         this->loop.poll();
     }
 
-    /// A further caller that has had one answer.
-    KeptCaller& connect_caller()
+    /// Connects another caller and serves one request of it.
+    PersistentCaller& connect_caller()
     {
         auto& caller = this->callers.emplace_back(this->loop, this->endpoint);
-        caller.send(KeptCaller::get_request);
-        auto before = this->taken_count;
-        this->wait_for_taken(before + 1);
-        this->answer_all();
-        ::Test::run_until(this->loop, [&] { return caller.answers() == 1; });
+        caller.send(PersistentCaller::get_request);
+        auto before = this->accepted_count;
+        this->wait_for_accepted(before + 1);
+        this->respond_to_all();
+        ::Test::run_until(this->loop, [&] { return caller.responses() == 1; });
         this->settle();
         return caller;
     }
 
-    /// Does all that is ready to be done.
+    /// Runs the event loop until no handler is ready.
     void settle()
     {
         while (this->loop.poll() > 0)
             this->loop.restart();
     }
 
-    /// Over all callers and requests.
-    size_t answers()
+    /// Number of responses received by all callers.
+    size_t responses()
     {
         size_t count = 0;
         for (auto& caller : this->callers)
-            count += caller.answers();
+            count += caller.responses();
         return count;
     }
 
-    /// To requests sent after connect_callers().
-    size_t further_answers() { return this->answers() - caller_count; }
+    /// Number of responses to requests sent after connect_callers().
+    size_t further_responses() { return this->responses() - caller_count; }
 
     asio::io_context loop;
     tcp::endpoint endpoint { ::Test::free_endpoint() };
     std::shared_ptr<CallerContext> context { std::make_shared<CallerContext>() };
     std::optional<CallerServer> server;
-    std::list<KeptCaller> callers;
+    std::list<PersistentCaller> callers;
     std::vector<std::shared_ptr<Exchange>> waiting;
     std::vector<ConnectionClose> closes;
-    size_t taken_count { 0 };
+    size_t accepted_count { 0 };
 };
 
 }
--- a/Tests/Promises/TestConfigurationSpread.cpp
+++ b/Tests/Promises/TestConfigurationSpread.cpp
@@ -20,7 +20,7 @@
     return seen;
 }
 
-/// The revisions each process had in force, from its own events.
+/// The revisions that were in force at each process, according to its own events.
 static History::Record revisions_seen(TestFleet& fleet)
 {
     History::Record record;
@@ -43,16 +43,16 @@
     for (int i = 0; i < 10; ++i)
         fleet.apply(R"({"putModel":{"id":"model-)" + std::to_string(i) + "\"}}");
     wait_until("revision 18 everywhere", [&] { return revisions(fleet) == std::set<u64> { 18 }; });
-    CHECK(History::check_forward_only(revisions_seen(fleet)).empty());
+    CHECK(History::check_revisions_monotonic(revisions_seen(fleet)).empty());
 
-    WHEN("the platform is out")
+    WHEN("the platform is unavailable")
     {
-        fleet.platform->set_fault(0, PlatformFault::Cut);
+        fleet.platform->set_fault(0, PlatformFault::Disconnect);
         THEN("callers are served on the last revision")
         {
             CHECK(fleet.caller().generate(0, "summary", "x [tokens=5]", 10s).outcome == "completed");
         }
-        THEN("a gateway that starts takes the configuration and the backend servers from its peers")
+        THEN("a starting gateway gets the configuration and the backend servers from its peers")
         {
             fleet.gateways[1].reset();
             fleet.start_gateway(1);
@@ -66,20 +66,20 @@
             fleet.apply(R"({"putModel":{"id":"late"}})");
             fleet.platform->set_fault(0, PlatformFault::None);
             wait_until("revision 19 everywhere", [&] { return revisions(fleet) == std::set<u64> { 19 }; });
-            CHECK(History::check_forward_only(revisions_seen(fleet)).empty());
+            CHECK(History::check_revisions_monotonic(revisions_seen(fleet)).empty());
         }
     }
 }
 
-SCENARIO("a host with neither platform nor peers is not ready and says so")
+SCENARIO("a host with neither platform nor peers reports that it is not ready")
 {
     TestFleet fleet({ .gateways = 1, .routers = 1 });
-    fleet.platform->set_fault(0, PlatformFault::Cut);
+    fleet.platform->set_fault(0, PlatformFault::Disconnect);
     fleet.gateways[0].reset();
     fleet.kill_router(0);
     fleet.start_gateway(0);
     auto& node = *fleet.gateways[0]->daemon.node;
-    wait_until("the platform to be asked", [&] {
+    wait_until("a request to the platform to fail", [&] {
         return std::ranges::any_of(node.events().latest(100),
             [](auto const& event) { return event.number == Core::EventNumber::PlatformUnavailable; });
     });
@@ -106,15 +106,17 @@
     wait_until("the gateway to be ready", [&] { return daemon.node->is_ready(); });
 }
 
-SCENARIO("a domain without the platform takes the configuration from another domain")
+SCENARIO("a domain without the platform gets the configuration from another domain")
 {
     TestFleet fleet({ .gateways = 1, .routers = 1 });
-    fleet.platform->set_fault(0, PlatformFault::Cut);
-    auto cut_off = fleet.start_router_elsewhere();
-    wait_until("the configuration",
-        [&] { return cut_off->on_loop([&] { return cut_off->node->configuration().revision() == Revision(8); }); });
-    CHECK(cut_off->node->is_ready());
-    CHECK(cut_off->on_loop([&] { return cut_off->node->members().others().empty(); }));
+    fleet.platform->set_fault(0, PlatformFault::Disconnect);
+    auto isolated_router = fleet.start_remote_router();
+    wait_until("the configuration", [&] {
+        return isolated_router->on_loop(
+            [&] { return isolated_router->node->configuration().revision() == Revision(8); });
+    });
+    CHECK(isolated_router->node->is_ready());
+    CHECK(isolated_router->on_loop([&] { return isolated_router->node->members().others().empty(); }));
 }
 
 SCENARIO("a key that is taken away opens nothing any more")
--- a/Tests/Promises/TestServiceCalls.cpp
+++ b/Tests/Promises/TestServiceCalls.cpp
@@ -31,40 +31,40 @@
 SCENARIO("a call that must not be repeated runs at most once")
 {
     TestFleet fleet;
-    WHEN("all is well")
+    WHEN("no fault occurs")
     {
         CHECK(charge(fleet).outcome == "completed");
         CHECK(executions(fleet) == 1);
     }
-    WHEN("the answer is lost after it ran")
+    WHEN("the response is lost after it ran")
     {
         for (auto& service : fleet.services)
-            service->set_fault(ServiceFault::LoseAnswer);
+            service->set_fault(ServiceFault::LoseResponse);
         auto result = charge(fleet);
         CHECK(result.outcome == "may_have_run");
         CHECK(result.status == 502);
         CHECK(executions(fleet) == 1);
     }
-    WHEN("the connection ends before it ran, which nobody can tell")
+    WHEN("the connection ends before it ran, which the gateway cannot know")
     {
         for (auto& service : fleet.services)
-            service->set_fault(ServiceFault::HangUpBefore);
+            service->set_fault(ServiceFault::CloseBeforeRun);
         CHECK(charge(fleet).outcome == "may_have_run");
         CHECK(executions(fleet) == 0);
     }
-    WHEN("a server turns it away")
+    WHEN("a server rejects it")
     {
-        fleet.services[0]->set_fault(ServiceFault::TurnAway);
+        fleet.services[0]->set_fault(ServiceFault::Reject);
         THEN("another one runs it, once")
         {
             CHECK(charge(fleet).outcome == "completed");
             CHECK(executions(fleet) == 1);
         }
     }
-    WHEN("every server turns it away")
+    WHEN("every server rejects it")
     {
         for (auto& service : fleet.services)
-            service->set_fault(ServiceFault::TurnAway);
+            service->set_fault(ServiceFault::Reject);
         auto result = charge(fleet);
         CHECK(result.outcome == "not_run");
         CHECK(executions(fleet) == 0);
@@ -79,7 +79,7 @@
 SCENARIO("a lookup that may be repeated is repeated")
 {
     TestFleet fleet;
-    fleet.services[0]->set_fault(ServiceFault::HangUpBefore);
+    fleet.services[0]->set_fault(ServiceFault::CloseBeforeRun);
     CHECK(look_up(fleet).outcome == "completed");
     CHECK(executions(fleet) == 1);
 }
@@ -93,9 +93,9 @@
     CHECK(executions(fleet) == 1);
     CHECK(charge(fleet, "sale-2", 1).outcome == "completed");
 
-    WHEN("the platform's answer to the claim is lost")
+    WHEN("the platform's response to the claim is lost")
     {
-        fleet.platform->set_fault(0, PlatformFault::LoseAnswers, 3);
+        fleet.platform->set_fault(0, PlatformFault::LoseResponses, 3);
         auto result = charge(fleet, "sale-3");
         THEN("it runs once or is not run")
         {
@@ -104,11 +104,11 @@
             CHECK((result.outcome == "completed") == (ran == 1));
         }
     }
-    WHEN("the platform is out")
+    WHEN("the platform is unavailable")
     {
         fleet.platform->set_fault(0, PlatformFault::Unavailable);
         auto keyed = charge(fleet, "sale-4");
-        THEN("a call with a key is refused as not run, and everything else goes on")
+        THEN("a call with a key is refused as not run, and other calls are served")
         {
             CHECK(keyed.outcome == "not_run");
             CHECK(keyed.status == 503);
@@ -121,14 +121,14 @@
             CHECK(charge(fleet, "sale-4").outcome == "completed");
         }
     }
-    WHEN("the call truly did not run")
+    WHEN("the call did not run")
     {
         for (auto& service : fleet.services)
-            service->set_fault(ServiceFault::TurnAway);
+            service->set_fault(ServiceFault::Reject);
         CHECK(charge(fleet, "sale-5").outcome == "not_run");
         for (auto& service : fleet.services)
             service->set_fault(ServiceFault::None);
-        THEN("its key is given back")
+        THEN("its key is released")
         {
             wait_until("the key to be free", [&] { return charge(fleet, "sale-5").outcome == "completed"; });
         }
--- a/Tests/Soak/Configuration.cpp
+++ b/Tests/Soak/Configuration.cpp
@@ -41,7 +41,7 @@
 {
     return { { "name", name }, { "host", caller_host }, { "path_prefix", prefix }, { "kind", kind_text(route.kind) },
         { "timeout_ms", AK::to_milliseconds(route.timeout) }, { "goal_ms", 300 }, { "priority", 1 },
-        { "service", route.service }, { "max_attempts", route.most_dispatches }, { "public", false } };
+        { "service", route.service }, { "max_attempts", route.max_dispatches }, { "public", false } };
 }
 
 u64 Configuration::add_version() { return ++this->current; }
@@ -55,9 +55,9 @@
 
 static Json::array services()
 {
-    using StandIn::PlatformRunner;
+    using StandIns::PlatformRunner;
     auto engines = service_entry(engine_service);
-    // Bytes of a token, the link and the stride are those of Tests/Platform/HostFixture.h.
+    // Token bytes, link rate and stride are those of Tests/Platform/HostFixture.h.
     engines["engine"] = Json::object { { "slots", PlatformRunner::slots }, { "kv_capacity", PlatformRunner::kv_tokens },
         { "kv_token_bytes", 18'432 }, { "link_mbps", 2700.0 }, { "moves", true }, { "stride", 4 } };
     return { service_entry(plain_service), engines };
--- a/Tests/Soak/Daemon.cpp
+++ b/Tests/Soak/Daemon.cpp
@@ -37,7 +37,7 @@
     ::posix_spawn_file_actions_addopen(
         &actions, STDOUT_FILENO, this->log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, log_mode);
     ::posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    // With copies of the soak's sockets in the process, what the soak closes would stay open for its other end.
+    // If the process inherited the soak's sockets, connections that the soak closes would stay open for their peers.
     ::posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     auto settings_argument = "--settings=" + this->settings_path;
     char* arguments[] = { this->program.data(), settings_argument.data(), nullptr };
@@ -47,7 +47,7 @@
         this->process_id = 0;
         throw std::system_error(error, std::generic_category(), this->program + " cannot be started");
     }
-    ++this->lives;
+    ++this->start_count;
 }
 
 void Daemon::send_signal(int number) const
@@ -56,7 +56,7 @@
         ::kill(this->process_id, number);
 }
 
-std::optional<int> Daemon::take_end()
+std::optional<int> Daemon::reap()
 {
     int status = 0;
     if (!this->is_running() || ::waitpid(this->process_id, &status, WNOHANG) != this->process_id)
--- a/Tests/Soak/DatagramProxy.h
+++ b/Tests/Soak/DatagramProxy.h
@@ -13,8 +13,8 @@
 
 namespace Soak {
 
-/// Forwards datagrams to a target on loopback, and harms them on demand: late, lost in part, or lost altogether. What
-/// is lost is lost for good, as on a real link.
+/// Forwards datagrams to a target on loopback, and on demand delays them or drops some or all of them. Dropped
+/// datagrams are never delivered, as on a real link.
 class DatagramProxy {
 public:
     /// Throws boost::system::system_error when `listen` cannot be bound.
@@ -22,14 +22,14 @@
 
     [[nodiscard]] Http::tcp::endpoint const& endpoint() const { return this->listen; }
     [[nodiscard]] Http::tcp::endpoint const& target_endpoint() const { return this->target; }
-    /// From now on datagrams are this late, and one of so many is lost.
-    void set_slow_and_lossy(Duration taken_delay, u32 loses_one_of);
-    void hold_all() { this->is_cut = true; }
+    /// From now on, delays datagrams and drops one in `drop_one_in`.
+    void set_slow_and_lossy(Duration new_delay, u32 drop_one_in);
+    void drop_all() { this->drops_all = true; }
     void heal();
 
 private:
     using Udp = Http::asio::ip::udp;
-    static constexpr size_t largest_datagram_bytes = 65'536;
+    static constexpr size_t max_datagram_bytes = 65'536;
 
     void receive();
     void forward(std::string datagram);
@@ -39,10 +39,10 @@
     Http::tcp::endpoint target;
     Udp::socket socket;
     Udp::endpoint sender;
-    std::array<char, largest_datagram_bytes> buffer {};
-    bool is_cut { false };
+    std::array<char, max_datagram_bytes> buffer {};
+    bool drops_all { false };
     Duration delay { 0 };
-    u32 lost_one_of { 0 };
+    u32 dropped_one_in { 0 };
     u32 count { 0 };
 };
 
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -14,17 +14,19 @@
 
 namespace Soak {
 
-/// How long a process may take beyond its grace to end after SIGTERM, on a busy machine.
-// Of a limit that a backend server names: the users' bound begins after the time of contact, counts any span of so
-// long, and counts a host from half a second on after it has passed on an answer; a second is for the first one.
+// The users' bound on the requests to a backend server that advertises a limit. It applies once the contact time has
+// passed, `limit_in_force_after`, to any window of the length `limit_window`. It counts the requests of a host from
+// half a second after the host has relayed a response with the limit; `limit_known_after` allows another second for
+// that first response.
 static constexpr Duration limit_in_force_after = 3s;
 static constexpr Duration limit_window = 4s;
-static constexpr Duration limit_told_after = 1500ms;
+static constexpr Duration limit_known_after = 1500ms;
+/// A process may take this much longer than its stop grace to exit after SIGTERM, on a busy machine.
 static constexpr Duration stop_lateness = 10s;
 static constexpr double usual_retry_ratio = 0.2;
 static constexpr Duration plain_work_time = 15ms;
-/// How long after its notice a backend server may still get new work.
-static constexpr Duration latest_new_work = 4s;
+/// A backend server may still get new work for this long after its notice.
+static constexpr Duration max_new_work_delay = 4s;
 
 Deployment::Deployment(Http::asio::io_context& loop, PromiseChecker& checker, DeploymentSize size, std::string program,
     std::string directory)
@@ -45,7 +47,7 @@
 
 void Deployment::make_host(std::string const& domain, u32 number)
 {
-    auto host = std::make_unique<HostPlace>();
+    auto host = std::make_unique<HostInstance>();
     host->name = "host-" + std::to_string(number);
     host->domain = domain;
     host->callers = Test::free_endpoint();
@@ -60,7 +62,7 @@
     this->hosts.push_back(std::move(host));
 }
 
-void Deployment::write_settings(HostPlace const& host, double ratio) const
+void Deployment::write_settings(HostInstance const& host, double ratio) const
 {
     std::ofstream file(host.settings_path);
     file << "host:\n  name: " << host.name << "\n  failure_domain: " << host.domain
@@ -85,25 +87,25 @@
         this->start_host(*host);
 }
 
-void Deployment::start_host(HostPlace& host)
+void Deployment::start_host(HostInstance& host)
 {
     if (host.daemon->is_running())
         return;
-    host.is_end_expected = false;
+    host.is_exit_expected = false;
     host.was_killed = false;
     host.stopping_since.reset();
     this->notices.host_started(host.name);
     host.daemon->start();
 }
 
-void Deployment::kill_host(HostPlace& host)
+void Deployment::kill_host(HostInstance& host)
 {
-    host.is_end_expected = true;
+    host.is_exit_expected = true;
     host.was_killed = true;
     host.daemon->send_signal(SIGKILL);
 }
 
-void Deployment::freeze_host(HostPlace& host, Duration duration)
+void Deployment::freeze_host(HostInstance& host, Duration duration)
 {
     host.frozen_until = std::max(host.frozen_until, now() + duration);
     this->notices.host_halted(host.name, now(), host.frozen_until);
@@ -116,161 +118,161 @@
     });
 }
 
-void Deployment::stop_host(HostPlace& host)
+void Deployment::stop_host(HostInstance& host)
 {
-    host.is_end_expected = true;
+    host.is_exit_expected = true;
     host.stopping_since = now();
     host.daemon->send_signal(SIGTERM);
 }
 
-void Deployment::harm(HostPlace& host, Duration duration)
+void Deployment::mark_affected(HostInstance& host, Duration duration)
 {
-    host.harmed_until = std::max(host.harmed_until, now() + duration);
+    host.affected_until = std::max(host.affected_until, now() + duration);
 }
 
-void Deployment::harm_all(Duration duration)
+void Deployment::mark_all_affected(Duration duration)
 {
     for (auto& host : this->hosts)
-        this->harm(*host, duration);
+        this->mark_affected(*host, duration);
 }
 
-RunnerPlace& Deployment::add_runner(std::string const& service, std::string const& domain)
+RunnerInstance& Deployment::add_runner(std::string const& service, std::string const& domain)
 {
-    auto& place = this->runners.emplace_back();
-    place.id = service + '-' + std::to_string(++this->runner_count);
-    place.service = service;
-    place.domain = domain;
+    auto& instance = this->runners.emplace_back();
+    instance.id = service + '-' + std::to_string(++this->runner_count);
+    instance.service = service;
+    instance.domain = domain;
     auto const endpoint = Test::free_endpoint();
-    place.link = std::make_unique<FaultProxy>(this->loop, Test::free_endpoint(), endpoint);
-    place.runner = std::make_unique<StandIn::PlatformRunner>(this->loop, endpoint, place.id);
-    place.runner->announce_as(Test::text_of(place.link->endpoint()));
-    place.runner->planned_events = PromiseChecker::planned_events;
-    place.runner->set_work_time(plain_work_time);
-    place.runner->on_received = [this, &place](auto const& received) {
-        this->checker.reached(place.id, place.service, received);
-        this->check_leaving(place, received.attempt);
-        this->check_limit(place, received.attempt);
-        this->check_notices(place, received.attempt);
+    instance.link = std::make_unique<FaultProxy>(this->loop, Test::free_endpoint(), endpoint);
+    instance.runner = std::make_unique<StandIns::PlatformRunner>(this->loop, endpoint, instance.id);
+    instance.runner->set_advertised_address(Test::text_of(instance.link->endpoint()));
+    instance.runner->planned_events = PromiseChecker::planned_events;
+    instance.runner->set_work_time(plain_work_time);
+    instance.runner->on_received = [this, &instance](auto const& received) {
+        this->checker.check_arrival(instance.id, instance.service, received);
+        this->check_leaving(instance, received.attempt);
+        this->check_limit(instance, received.attempt);
+        this->check_notices(instance, received.attempt);
     };
-    place.runner->on_copy = [this](std::string const& target, std::string const& handle, u64 made) {
-        return std::ranges::any_of(this->runners, [&](RunnerPlace& candidate) {
-            return candidate.runner->address() == target && !candidate.has_ended
+    instance.runner->on_copy = [this](std::string const& target, std::string const& handle, u64 made) {
+        return std::ranges::any_of(this->runners, [&](RunnerInstance& candidate) {
+            return candidate.runner->address() == target && !candidate.is_terminated
                 && candidate.runner->receive_copy(handle, made);
         });
     };
-    this->put_row(place);
-    return place;
+    this->put_row(instance);
+    return instance;
 }
 
-HostPlace const* Deployment::find_host(std::string const& name) const
+HostInstance const* Deployment::find_host(std::string const& name) const
 {
     auto found = std::ranges::find_if(this->hosts, [&](auto const& host) { return host->name == name; });
     return found == this->hosts.end() ? nullptr : found->get();
 }
 
-void Deployment::check_leaving(RunnerPlace const& place, std::string const& attempt)
+void Deployment::check_leaving(RunnerInstance const& instance, std::string const& attempt)
 {
-    if (!place.leaving_since || now() - *place.leaving_since < latest_new_work)
+    if (!instance.leaving_since || now() - *instance.leaving_since < max_new_work_delay)
         return;
     auto const* host = this->find_host(this->checker.host_of(attempt));
-    if (host && is_calm_for(*host, *place.leaving_since))
+    if (host && is_unaffected_with_margin(*host, *instance.leaving_since))
         this->checker.violation(
-            host->name + " still sends work (" + attempt + ") to " + place.id + ", which is leaving");
+            host->name + " still sends work (" + attempt + ") to " + instance.id + ", which is leaving");
 }
 
-void Deployment::name_limit(RunnerPlace& place, double per_second)
+void Deployment::advertise_limit(RunnerInstance& instance, double per_second)
 {
-    place.limit = NamedLimit { per_second, now(), {} };
-    place.runner->set_limit(std::to_string(per_second));
+    instance.limit = AdvertisedLimit { per_second, now(), {} };
+    instance.runner->set_limit(std::to_string(per_second));
 }
 
-void Deployment::name_no_limit(RunnerPlace& place)
+void Deployment::withdraw_limit(RunnerInstance& instance)
 {
-    place.limit.reset();
-    place.runner->set_limit({});
+    instance.limit.reset();
+    instance.runner->set_limit({});
 }
 
-void Deployment::check_limit(RunnerPlace& place, std::string const& attempt)
+void Deployment::check_limit(RunnerInstance& instance, std::string const& attempt)
 {
-    if (!place.limit || now() - place.limit->since < limit_told_after)
+    if (!instance.limit || now() - instance.limit->since < limit_known_after)
         return;
     auto const* host = this->find_host(this->checker.host_of(attempt));
-    if (!host || !is_calm_for(*host, place.limit->since))
+    if (!host || !is_unaffected_with_margin(*host, instance.limit->since))
         return;
-    auto& arrivals = place.limit->arrivals;
+    auto& arrivals = instance.limit->arrivals;
     arrivals.push_back(now());
     std::erase_if(arrivals, [](Instant moment) { return now() - moment >= limit_window; });
-    auto const allowed = 1.5 * place.limit->per_second * AK::to_seconds(limit_window) + 5;
-    bool const is_in_force = now() - place.limit->since >= limit_in_force_after;
+    auto const allowed = 1.5 * instance.limit->per_second * AK::to_seconds(limit_window) + 5;
+    bool const is_in_force = now() - instance.limit->since >= limit_in_force_after;
     if (is_in_force && static_cast<double>(arrivals.size()) > allowed)
-        this->checker.violation(place.id + " named a limit of " + std::to_string(place.limit->per_second)
+        this->checker.violation(instance.id + " advertised a limit of " + std::to_string(instance.limit->per_second)
             + " a second and got " + std::to_string(arrivals.size()) + " in 4 s");
 }
 
-void Deployment::turn_away(RunnerPlace& place, Duration back_off)
+void Deployment::reject_all(RunnerInstance& instance, Duration back_off)
 {
-    place.runner->turn_away(std::to_string(AK::to_seconds(back_off)));
-    place.runner->on_turned_away = [this, &place, back_off](auto const& received) {
-        if (now() >= place.harmed_until)
-            this->notices.turned_away(place.id, this->checker.host_of(received.attempt), back_off, now());
+    instance.runner->reject_requests(std::to_string(AK::to_seconds(back_off)));
+    instance.runner->on_rejected = [this, &instance, back_off](auto const& received) {
+        if (now() >= instance.affected_until)
+            this->notices.record_back_off(instance.id, this->checker.host_of(received.attempt), back_off, now());
     };
 }
 
-void Deployment::take_all_again(RunnerPlace& place) { place.runner->turn_away({}); }
+void Deployment::accept_again(RunnerInstance& instance) { instance.runner->reject_requests({}); }
 
-void Deployment::check_notices(RunnerPlace const& place, std::string const& attempt)
+void Deployment::check_notices(RunnerInstance const& instance, std::string const& attempt)
 {
-    if (now() < place.harmed_until)
-        return this->notices.server_harmed(place.id);
+    if (now() < instance.affected_until)
+        return this->notices.server_affected(instance.id);
     auto const host = this->checker.host_of(attempt);
-    if (auto const broken = this->notices.reached(place.id, host, this->checker.sent_at(attempt), now()))
-        this->checker.violation(*broken + " (" + attempt + ')');
-    if (place.runner->is_saying_it_leaves() && !place.spoils_answers)
-        this->notices.said_it_leaves(place.id, host, now());
+    if (auto const violation = this->notices.check_arrival(instance.id, host, this->checker.sent_at(attempt), now()))
+        this->checker.violation(*violation + " (" + attempt + ')');
+    if (instance.runner->is_announcing_leaving() && !instance.corrupts_responses)
+        this->notices.record_leaving(instance.id, host, now());
 }
 
-void Deployment::put_row(RunnerPlace const& place)
+void Deployment::put_row(RunnerInstance const& instance)
 {
-    this->store.put(
-        servers_table, place.id, place.runner->row(place.service, place.domain, place.leaving_since.has_value()));
+    this->store.put(servers_table, instance.id,
+        instance.runner->row(instance.service, instance.domain, instance.leaving_since.has_value()));
 }
 
-void Deployment::put_entry(RunnerPlace const& place, std::string const& value)
+void Deployment::put_entry(RunnerInstance const& instance, std::string const& value)
 {
-    this->store.put(servers_table, place.id, value);
+    this->store.put(servers_table, instance.id, value);
 }
 
-void Deployment::drain(RunnerPlace& place, Duration time_left)
+void Deployment::drain(RunnerInstance& instance, Duration time_left)
 {
-    place.leaving_since = now();
-    place.runner->say_it_leaves(true);
-    place.runner->set_leaves_in(static_cast<u64>(AK::to_milliseconds(time_left)));
-    this->put_row(place);
+    instance.leaving_since = now();
+    instance.runner->announce_leaving(true);
+    instance.runner->set_leaves_in(static_cast<u64>(AK::to_milliseconds(time_left)));
+    this->put_row(instance);
 }
 
-void Deployment::remove_row(RunnerPlace& place)
+void Deployment::remove_row(RunnerInstance& instance)
 {
-    if (!place.leaving_since)
-        place.leaving_since = now();
-    place.runner->say_it_leaves(true);
-    this->store.remove(servers_table, place.id);
+    if (!instance.leaving_since)
+        instance.leaving_since = now();
+    instance.runner->announce_leaving(true);
+    this->store.remove(servers_table, instance.id);
 }
 
-void Deployment::end_runner(RunnerPlace& place)
+void Deployment::terminate_runner(RunnerInstance& instance)
 {
-    place.has_ended = true;
-    place.ended_at = now();
-    place.runner->end();
-    place.link->reset_all();
-    this->checker.note_running(place.id, {}, false, now());
+    instance.is_terminated = true;
+    instance.terminated_at = now();
+    instance.runner->terminate();
+    instance.link->reset_all();
+    this->checker.record_running(instance.id, {}, false, now());
 }
 
-std::vector<RunnerPlace*> Deployment::serving(std::string const& service)
+std::vector<RunnerInstance*> Deployment::serving(std::string const& service)
 {
-    std::vector<RunnerPlace*> result;
-    for (auto& place : this->runners) {
-        if (place.service == service && !place.leaving_since && !place.has_ended)
-            result.push_back(&place);
+    std::vector<RunnerInstance*> result;
+    for (auto& instance : this->runners) {
+        if (instance.service == service && !instance.leaving_since && !instance.is_terminated)
+            result.push_back(&instance);
     }
     return result;
 }
@@ -284,8 +286,8 @@
 std::map<std::string, u32> Deployment::runs() const
 {
     std::map<std::string, u32> total;
-    for (auto const& place : this->runners) {
-        for (auto const& [attempt, count] : place.runner->runs())
+    for (auto const& instance : this->runners) {
+        for (auto const& [attempt, count] : instance.runner->runs())
             total[attempt] += count;
     }
     return total;
@@ -293,53 +295,54 @@
 
 bool Deployment::was_moved(std::string const& attempt) const
 {
-    return std::ranges::any_of(this->runners, [&](auto const& place) {
-        auto const& orders = place.runner->copy_orders();
+    return std::ranges::any_of(this->runners, [&](auto const& instance) {
+        auto const& orders = instance.runner->copy_orders();
         return std::ranges::find(orders, attempt) != orders.end();
     });
 }
 
-bool Deployment::engine_may_have_cut(std::string const& attempt, Instant instant) const
+bool Deployment::engine_may_have_interrupted(std::string const& attempt, Instant instant) const
 {
     auto const reached = this->checker.runners_of(attempt);
     bool const is_moved = this->was_moved(attempt);
-    return std::ranges::any_of(this->runners, [&](auto const& place) {
-        // A stream that moves may end at an engine that it has not reached yet, or by a spoiled answer to its going on.
-        bool const is_concerned = reached.contains(place.id) || (is_moved && place.service == engine_service);
-        bool const has_failed = place.ended_at >= instant || place.harmed_until >= instant;
-        return is_concerned && (has_failed || (is_moved && place.spoils_answers));
+    return std::ranges::any_of(this->runners, [&](auto const& instance) {
+        // A moving stream may end at an engine that it has not reached yet, or by a corrupted response to its
+        // resumption.
+        bool const is_involved = reached.contains(instance.id) || (is_moved && instance.service == engine_service);
+        bool const has_failed = instance.terminated_at >= instant || instance.affected_until >= instant;
+        return is_involved && (has_failed || (is_moved && instance.corrupts_responses));
     });
 }
 
 void Deployment::tick()
 {
     auto const at = now();
-    for (auto& place : this->runners) {
-        if (place.has_ended)
+    for (auto& instance : this->runners) {
+        if (instance.is_terminated)
             continue;
-        place.runner->make_events();
-        this->checker.note_running(place.id, place.runner->running(), at < place.harmed_until, at);
+        instance.runner->make_events();
+        this->checker.record_running(instance.id, instance.runner->running(), at < instance.affected_until, at);
     }
     for (auto& host : this->hosts)
-        this->look_after(*host);
+        this->check_process(*host);
 }
 
-void Deployment::look_after(HostPlace& host)
+void Deployment::check_process(HostInstance& host)
 {
-    auto status = host.daemon->take_end();
+    auto status = host.daemon->reap();
     if (!status) {
         bool const is_overdue = host.stopping_since && now() - *host.stopping_since > stop_grace + stop_lateness;
-        if (is_overdue && is_calm_since(host, *host.stopping_since)) {
-            this->checker.violation(host.name + " did not end within its grace after SIGTERM");
+        if (is_overdue && is_unaffected_since(host, *host.stopping_since)) {
+            this->checker.violation(host.name + " did not exit within its stop grace after SIGTERM");
             host.stopping_since.reset();
             this->kill_host(host);
         }
         return;
     }
-    if (!host.is_end_expected)
-        this->checker.violation(host.name + " ended by itself, with status " + std::to_string(*status));
+    if (!host.is_exit_expected)
+        this->checker.violation(host.name + " exited unexpectedly, with status " + std::to_string(*status));
     if (host.stopping_since && !(WIFEXITED(*status) && WEXITSTATUS(*status) == 0) && !WIFSIGNALED(*status))
-        this->checker.violation(host.name + " ended its planned stop with status " + std::to_string(*status));
+        this->checker.violation(host.name + " exited from its planned stop with status " + std::to_string(*status));
 }
 
 }
--- a/Tests/Soak/FaultSchedule.h
+++ b/Tests/Soak/FaultSchedule.h
@@ -6,21 +6,21 @@
 
 #pragma once
 
-#include <Tests/Soak/StandingFaults.h>
+#include <Tests/Soak/BackgroundFaults.h>
 
 namespace Soak {
 
-/// A seed's faults: drawn at the start, begun at their times, overlapping as they come. Every fault ends by itself, and
-/// says for how long it may be felt where.
+/// The faults of a seed, all drawn in advance. Each begins at its own time, so that faults may overlap, ends by itself,
+/// and marks the hosts and servers that it may affect, and for how long.
 class FaultSchedule {
 public:
     /// Draws `count` faults that begin within `length` of start().
     FaultSchedule(Http::asio::io_context&, Deployment&, u32 seed, u32 count, Duration length);
 
     void start();
-    /// Ends all faults that go on, and begins no more.
+    /// Ends all current faults and begins no further ones.
     void heal();
-    /// For how long after its end a fault may still be felt; chosen, with room for a busy machine.
+    /// A fault may have effects for this long after its end, on a busy machine.
     static constexpr Duration aftermath = 5s;
 
 private:
@@ -30,67 +30,67 @@
         Begin begin { nullptr };
     };
 
-    /// What a seed draws from; stalls come with each. The fewer things are harmed, the more of the checks that ask for
-    /// calm apply.
+    /// The kinds of faults that a seed draws from; each mix also has the background faults. The less a mix affects, the
+    /// more of the checks that need an unaffected host apply.
     enum class Mix : u8 {
         /// Planned work only: stops, changes of settings and configuration, backend servers that leave.
         Planned,
-        /// And backend servers that crash, break connections or spoil answers.
-        Answers,
+        /// Also backend servers that crash, break connections or corrupt responses.
+        Responses,
         Everything,
     };
     static constexpr u32 mix_count = 3;
     [[nodiscard]] static std::vector<Begin> kinds_of(Mix);
 
-    // Of processes.
+    // Faults of processes.
     void kill_host();
     void kill_all_after_change();
     void stop_host();
     void freeze_host();
     void reload_host();
-    // Of the platform.
+    // Faults of the platform.
     void platform_busy();
     void platform_silent();
-    void platform_forgets();
-    void platform_behind();
-    void entries_lapse();
+    void platform_loses_history();
+    void platform_stale();
+    void expire_entries();
     void change_configuration();
-    // Of links.
-    void cut_platform_link();
+    // Faults of links.
+    void block_platform_link();
     void delay_platform_link();
     void reset_platform_link();
-    void cut_peer_link();
+    void block_peer_link();
     void delay_peer_link();
-    void cut_domain();
-    void harm_runner_link();
+    void isolate_domain();
+    void impair_runner_link();
     void reset_runner_link();
-    // Of backend servers.
+    // Faults of backend servers.
     void crash_runner();
     void drain_runner();
-    void vanish_runner();
-    void spoil_answers();
+    void unlist_runner();
+    void corrupt_responses();
 
-    void begin_platform_mode(StandIn::PlatformStore::Mode, std::string const& what);
-    /// Answers the link, which the caller harms; it heals by itself.
+    void begin_platform_mode(StandIns::PlatformStore::Mode, std::string const& what);
+    /// Schedules the healing of a link and returns it; the function's caller impairs it.
     template<typename Link>
-    Link& harm_link(HostPlace&, Link&, std::string const& what);
-    void restart_later(HostPlace&);
-    void end_leaving(RunnerPlace&, Duration time_left);
+    Link& impair_link(HostInstance&, Link&, std::string const& what);
+    void restart_later(HostInstance&);
+    void schedule_termination(RunnerInstance&, Duration time_left);
     /// Does nothing once heal() has been called.
     void after(Duration, std::function<void()>);
-    [[nodiscard]] HostPlace& draw_host();
-    /// Null when a service would be left with too few backend servers.
-    [[nodiscard]] RunnerPlace* draw_runner();
+    [[nodiscard]] HostInstance& draw_host();
+    /// Null if the service would be left with too few backend servers.
+    [[nodiscard]] RunnerInstance* draw_runner();
     [[nodiscard]] u32 draw_number(u32 below);
-    [[nodiscard]] Duration draw_duration(Duration shortest, Duration longest);
-    [[nodiscard]] Duration draw_fault_time();
+    [[nodiscard]] Duration draw_duration(Duration min, Duration max);
+    [[nodiscard]] Duration draw_fault_duration();
     [[nodiscard]] FaultProxy::Direction draw_direction();
-    void note(std::string const& what) const;
+    void log_fault(std::string const& what) const;
 
     Http::asio::io_context& loop;
     Deployment& deployment;
     boost::random::mt19937 random;
-    StandingFaults standing;
+    BackgroundFaults background_faults;
     std::vector<Entry> entries;
     Instant started_at {};
     bool is_over { false };
--- a/Tests/Soak/PromiseChecker.cpp
+++ b/Tests/Soak/PromiseChecker.cpp
@@ -10,16 +10,16 @@
 
 namespace Soak {
 
-/// Events of a generation: evenly from 3 to 149, which is up to three seconds' worth at Soak.cpp's 20 ms each.
-static constexpr u64 fewest_events = 3;
-static constexpr u64 event_spread = 147;
+/// Events of a generation: uniform from 3 to 149, which takes up to three seconds at Soak.cpp's 20 ms per event.
+static constexpr u64 min_events = 3;
+static constexpr u64 event_count_range = 147;
 
 u64 PromiseChecker::planned_events(std::string const& attempt)
 {
-    return fewest_events + XXH3_64bits(attempt.data(), attempt.size()) % event_spread;
+    return min_events + XXH3_64bits(attempt.data(), attempt.size()) % event_count_range;
 }
 
-/// As the stand-in of an engine words it.
+/// An event in the format of the stand-in engine.
 static std::string event_text(std::string const& attempt, u64 number)
 {
     return "id: " + std::to_string(number) + "\ndata: token of " + attempt + "\n\n";
@@ -28,9 +28,9 @@
 std::string_view to_string(Ending ending)
 {
     switch (ending) {
-    case Ending::Whole:
+    case Ending::Complete:
         return "whole";
-    case Ending::CallerLeft:
+    case Ending::CallerDisconnected:
         return "caller-left";
     case Ending::RefusedHostDown:
         return "refused-down";
@@ -38,23 +38,23 @@
         return "refused-stopping";
     case Ending::RefusedHostUp:
         return "refused-up";
-    case Ending::ClosedHostGone:
+    case Ending::ClosedHostTerminated:
         return "closed-gone";
-    case Ending::ClosedGraceOver:
+    case Ending::ClosedGraceExpired:
         return "closed-grace-over";
     case Ending::ClosedStreamBroken:
         return "closed-stream-broken";
     case Ending::ClosedHostStopping:
         return "closed-stopping";
-    case Ending::ClosedHostHarmed:
+    case Ending::ClosedHostAffected:
         return "closed-harmed";
-    case Ending::ClosedHostCalm:
+    case Ending::ClosedHostUnaffected:
         return "closed-calm";
     }
     VERIFY(false);
 }
 
-void PromiseChecker::violation(std::string text) { this->found.push_back(std::move(text)); }
+void PromiseChecker::violation(std::string text) { this->found_violations.push_back(std::move(text)); }
 
 std::string PromiseChecker::host_of(std::string const& attempt) const
 {
@@ -74,13 +74,13 @@
     return known == this->runners_by_attempt.end() ? std::set<std::string>() : known->second;
 }
 
-void PromiseChecker::sent(std::string const& attempt, SentRequest request)
+void PromiseChecker::record_sent(std::string const& attempt, SentRequest request)
 {
     this->requests.emplace(attempt, std::move(request));
 }
 
-void PromiseChecker::reached(
-    std::string const& runner, std::string const& service, StandIn::PlatformRunner::Received const& received)
+void PromiseChecker::check_arrival(
+    std::string const& runner, std::string const& service, StandIns::PlatformRunner::Received const& received)
 {
     auto known = this->requests.find(received.attempt);
     if (known == this->requests.end())
@@ -92,7 +92,7 @@
         return found == received.headers.end() ? std::string() : found->second;
     };
     if (received.body != request.body || received.target != request.target)
-        this->violation(runner + " got a changed request of " + received.attempt);
+        this->violation(runner + " got a modified request of " + received.attempt);
     if (service != route_of(request.kind).service)
         this->violation(runner + " of " + service + " got " + received.attempt + " of another service");
     if (header("Lilactiller-Tenant") != organisation)
@@ -101,98 +101,100 @@
         this->violation(runner + " was shown the key of " + received.attempt);
 }
 
-void PromiseChecker::answered(std::string const& attempt, SeenAnswer answer)
+void PromiseChecker::check_response(std::string const& attempt, ObservedResponse response)
 {
     auto known = this->requests.find(attempt);
-    ++this->status_counts[answer.status];
-    if (known != this->requests.end() && answer.is_success())
-        this->check_success(attempt, known->second, answer);
-    this->answers.emplace(attempt, std::move(answer));
+    ++this->status_counts[response.status];
+    if (known != this->requests.end() && response.is_success())
+        this->check_success(attempt, known->second, response);
+    this->responses.emplace(attempt, std::move(response));
 }
 
-void PromiseChecker::ended(std::string const& attempt, Ending ending, SeenAnswer const& answer)
+void PromiseChecker::record_ending(std::string const& attempt, Ending ending, ObservedResponse const& response)
 {
     ++this->endings[ending];
-    bool const is_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostHarmed
-        || ending == Ending::ClosedHostCalm;
-    if (!is_by_host)
+    bool const was_closed_by_host = ending == Ending::ClosedHostStopping || ending == Ending::ClosedHostAffected
+        || ending == Ending::ClosedHostUnaffected;
+    if (!was_closed_by_host)
         return;
     this->closed_by_host[attempt] = std::string(to_string(ending)) + ", "
-        + (answer.is_on_kept_connection ? "kept" : "new") + " connection, status " + std::to_string(answer.status)
-        + ", " + Http::describe(answer.end, answer.end_reason);
+        + (response.is_on_persistent_connection ? "kept" : "new") + " connection, status "
+        + std::to_string(response.status) + ", " + Http::describe(response.end, response.end_reason);
 }
 
 void PromiseChecker::check_closed()
 {
-    // At the end only: what was passed on may reach its backend server later than the caller sees the close.
+    // Checked at the end only: a forwarded request may reach its backend server after the caller has seen the close.
     for (auto const& [attempt, seen] : this->closed_by_host) {
         if (!this->runners_by_attempt.contains(attempt))
             continue;
-        this->violation(attempt + " was passed on by " + this->host_of(attempt)
-            + ", which then closed its caller's connection without an answer (" + seen + ')');
+        this->violation(attempt + " was forwarded by " + this->host_of(attempt)
+            + ", which then closed the caller's connection without a response (" + seen + ')');
     }
 }
 
-void PromiseChecker::check_success(std::string const& attempt, SentRequest const& request, SeenAnswer const& answer)
+void PromiseChecker::check_success(
+    std::string const& attempt, SentRequest const& request, ObservedResponse const& response)
 {
-    if (!answer.has_stamp)
+    if (!response.has_stamp)
         this->violation(attempt + " got a success without a signature");
     if (request.kind == CallKind::Draft)
-        return this->check_stream(attempt, answer);
-    if (answer.is_complete && answer.body != "answer to " + request.target)
-        this->violation(attempt + " got an answer that is not its own: " + answer.body);
+        return this->check_stream(attempt, response);
+    if (response.is_complete && response.body != "answer to " + request.target)
+        this->violation(attempt + " got the response of another request: " + response.body);
 }
 
-void PromiseChecker::check_stream(std::string const& attempt, SeenAnswer const& answer)
+void PromiseChecker::check_stream(std::string const& attempt, ObservedResponse const& response)
 {
-    std::string whole;
+    std::string expected;
     for (u64 number = 1; number <= planned_events(attempt); ++number)
-        whole += event_text(attempt, number);
-    if (!whole.starts_with(answer.body))
-        this->violation(attempt + " got events that are missing, doubled, out of order or another's");
-    if (answer.is_complete && answer.body != whole)
-        this->violation(attempt + " ended as complete before its last event");
+        expected += event_text(attempt, number);
+    if (!expected.starts_with(response.body))
+        this->violation(attempt + " got events that are missing, duplicate, out of order or of another generation");
+    if (response.is_complete && response.body != expected)
+        this->violation(attempt + " was completed before its last event");
 }
 
-void PromiseChecker::note_running(
-    std::string const& runner, std::vector<std::string> const& attempts, bool is_excused, Instant now)
+void PromiseChecker::record_running(
+    std::string const& runner, std::vector<std::string> const& attempts, bool is_exempt, Instant now)
 {
     std::set<std::string> const present(attempts.begin(), attempts.end());
-    for (auto& [attempt, runners] : this->running_since) {
-        if (!present.contains(attempt) || is_excused)
+    for (auto& [attempt, runners] : this->first_seen_running) {
+        if (!present.contains(attempt) || is_exempt)
             runners.erase(runner);
     }
-    if (is_excused)
+    if (is_exempt)
         return;
     for (auto const& attempt : attempts) {
-        auto& runners = this->running_since[attempt];
+        auto& runners = this->first_seen_running[attempt];
         runners.try_emplace(runner, now);
         size_t const overlapping = static_cast<size_t>(
             std::ranges::count_if(runners, [&](auto const& entry) { return now - entry.second > tolerated_overlap; }));
         if (overlapping > 1) {
-            this->violation(attempt + " runs at two engines at once");
+            this->violation(attempt + " runs on two engines at once");
             runners.clear();
         }
     }
-    std::erase_if(this->running_since, [](auto const& entry) { return entry.second.empty(); });
+    std::erase_if(this->first_seen_running, [](auto const& entry) { return entry.second.empty(); });
 }
 
-void PromiseChecker::probed(SentRequest const& request, u64 version, SeenAnswer const& answer)
+void PromiseChecker::check_probe_response(SentRequest const& request, u64 version, ObservedResponse const& response)
 {
-    auto& served = this->served_probes[{ request.host, request.host_life }];
-    if (answer.has(Http::Status::ok))
+    auto& served = this->served_probes[{ request.host, request.host_incarnation }];
+    if (response.has(Http::Status::ok))
         served.insert(version);
-    // A route that a host has served in this life was added by a version that is in force, and none is ever dropped.
-    if (answer.has(Http::Status::not_found) && !served.empty() && *served.rbegin() >= version)
-        this->violation(request.host + " went back behind version " + std::to_string(*served.rbegin())
-            + " to one without " + std::to_string(version));
+    // A host that has served a route in this incarnation has applied the version that added it, and no version removes
+    // a route.
+    if (response.has(Http::Status::not_found) && !served.empty() && *served.rbegin() >= version)
+        this->violation(request.host + " reverted from version " + std::to_string(*served.rbegin()) + " to one without "
+            + std::to_string(version));
 }
 
-/// Refusals that a host may give only for a request that has not run.
-static bool says_not_run(SeenAnswer const& answer)
+/// Statuses with which a host may refuse a request only if it has not run.
+static bool reports_not_run(ObservedResponse const& response)
 {
-    return answer.has(Http::Status::too_many_requests) || answer.has(Http::Status::service_unavailable)
-        || answer.has(Http::Status::request_timeout) || answer.has(Http::Status::misdirected_request);
+    return response.has(Http::Status::too_many_requests) || response.has(Http::Status::service_unavailable)
+        || response.has(Http::Status::request_timeout) || response.has(Http::Status::misdirected_request);
 }
 
 void PromiseChecker::finish(std::map<std::string, u32> const& runs)
@@ -204,11 +206,11 @@
             continue;
         if (known->second.kind != CallKind::Tariff && count > 1)
             this->violation(attempt + ", which may run once, ran " + std::to_string(count) + " times");
-        auto answer = this->answers.find(attempt);
-        if (answer == this->answers.end() || known->second.kind == CallKind::Tariff)
+        auto response = this->responses.find(attempt);
+        if (response == this->responses.end() || known->second.kind == CallKind::Tariff)
             continue;
-        if (says_not_run(answer->second))
-            this->violation(attempt + " was told " + std::to_string(answer->second.status) + ", and ran");
+        if (reports_not_run(response->second))
+            this->violation(attempt + " got status " + std::to_string(response->second.status) + " and ran");
     }
 }
 
--- a/Tests/Support/TestFleet.cpp
+++ b/Tests/Support/TestFleet.cpp
@@ -14,9 +14,9 @@
 static constexpr int first_router_port = 7300;
 static constexpr int first_gateway_port = 7100;
 static constexpr int operator_port = 7500;
-static constexpr int elsewhere_port = 7600;
+static constexpr int remote_port = 7600;
 
-/// An address of the loopback network that is this process's own, so that fixed ports never meet another's.
+/// A loopback address that only this process uses, so that its fixed ports never conflict with another process's.
 static std::string own_host()
 {
     auto pid = static_cast<unsigned>(getpid());
@@ -32,7 +32,7 @@
     return signal;
 }
 
-void ChangeSignal::tell()
+void ChangeSignal::notify()
 {
     {
         std::lock_guard lock(this->mutex);
@@ -47,23 +47,23 @@
     return this->changes;
 }
 
-bool ChangeSignal::wait_beyond(u64 seen, Instant give_up_at)
+bool ChangeSignal::wait_for_change(u64 seen, Instant deadline)
 {
     std::unique_lock lock(this->mutex);
-    return this->changed.wait_until(lock, give_up_at, [&] { return this->changes != seen; });
+    return this->changed.wait_until(lock, deadline, [&] { return this->changes != seen; });
 }
 
 void wait_until(std::string const& what, std::function<bool()> const& condition)
 {
     auto& signal = ChangeSignal::instance();
-    auto give_up_at = AK::BootClock::now() + 60s;
+    auto deadline = AK::BootClock::now() + 60s;
     while (true) {
-        // Counted before looking, so that nothing that happens in between is missed.
+        // Read before checking, so that a change in between is not missed.
         auto seen = signal.count();
         if (condition())
             return;
         INFO("waiting for " << what);
-        REQUIRE(signal.wait_beyond(seen, give_up_at));
+        REQUIRE(signal.wait_for_change(seen, deadline));
     }
 }
 
@@ -80,7 +80,7 @@
         [](Node::Node& node, Gateway::GatewaySettings const& own) {
             return std::make_unique<Gateway::GatewayLoop>(node, own);
         })
-    , frontend(*this->daemon.part, this->daemon.settings)
+    , frontend(*this->daemon.component, this->daemon.settings)
 {
 }
 
@@ -99,12 +99,12 @@
         options.name = "engine-" + std::to_string(i);
         options.parameters.capacity_tokens = size.engine_capacity;
         options.time_scale = 0.25;
-        options.on_change = [] { ChangeSignal::instance().tell(); };
+        options.on_change = [] { ChangeSignal::instance().notify(); };
         this->engines.push_back(std::make_unique<StandIns::FakeEngine>(any_port, options));
     }
     for (size_t i = 0; i < size.services; ++i)
         this->services.push_back(std::make_unique<StandIns::FakeService>(any_port, "service-" + std::to_string(i)));
-    this->publish_hosts();
+    this->publish_backend_servers();
     this->apply(R"({"putModel":{"id":"writer"}})");
     for (auto const* name : { "toll", "hanak" }) {
         auto hash = Delivery::sha256_hexadecimal(std::string(name) + "-key");
@@ -142,7 +142,7 @@
 
 TestFleet::~TestFleet()
 {
-    // Edge threads wait for their loops, so the callers' side goes first, while the engines still answer.
+    // Caller-facing threads wait for their event loops, so gateways stop first, while the engines still respond.
     this->gateways.clear();
     this->operator_server.reset();
     this->routers.clear();
@@ -158,7 +158,7 @@
     for (size_t i = 0; i < this->size.routers; ++i)
         settings.peers.push_back(own_address(first_router_port + static_cast<int>(i)));
     settings.platform = this->platform->address(0);
-    settings.platform_patience = 1s;
+    settings.platform_timeout = 1s;
     settings.status_listen = Address("127.0.0.1:0");
     settings.heartbeat_period = 100ms;
     settings.silence_limit = 1s;
@@ -184,9 +184,9 @@
         "router-" + std::to_string(number), first_router_port + static_cast<int>(number), wire::ROLE_ROUTER));
 }
 
-std::unique_ptr<TestRouter> TestFleet::start_router_elsewhere() const
+std::unique_ptr<TestRouter> TestFleet::start_remote_router() const
 {
-    auto settings = this->node_settings("router-elsewhere", elsewhere_port, wire::ROLE_ROUTER);
+    auto settings = this->node_settings("router-elsewhere", remote_port, wire::ROLE_ROUTER);
     settings.failure_domain = FailureDomainId("hall-b");
     settings.peers.clear();
     settings.remote_peers = { own_address(first_router_port) };
@@ -234,7 +234,7 @@
 
 Address TestFleet::operator_address() const
 {
-    return Address("127.0.0.1:" + std::to_string(this->operator_server->part->port()));
+    return Address("127.0.0.1:" + std::to_string(this->operator_server->component->port()));
 }
 
 size_t TestFleet::owner()
@@ -262,18 +262,18 @@
     REQUIRE(accepted.has_value());
 }
 
-void TestFleet::publish_hosts()
+void TestFleet::publish_backend_servers()
 {
-    std::vector<Platform::BackendServerRecord> hosts;
+    std::vector<Platform::BackendServerRecord> servers;
     for (size_t i = 0; i < this->engines.size(); ++i)
-        hosts.push_back({ EngineId("engine-" + std::to_string(i)), this->engines[i]->address(),
+        servers.push_back({ EngineId("engine-" + std::to_string(i)), this->engines[i]->address(),
             FailureDomainId(failure_domain), ModelId("writer"), ServiceName(), TokenCount(this->size.engine_capacity),
-            Platform::HostState::Live, true });
+            Platform::BackendServerState::Live, true });
     for (size_t i = 0; i < this->services.size(); ++i)
-        hosts.push_back(
+        servers.push_back(
             { EngineId("service-" + std::to_string(i)), this->services[i]->address(), FailureDomainId(failure_domain),
-                ModelId(), ServiceName("till"), TokenCount(0), Platform::HostState::Live, true });
-    this->platform->set_hosts(Platform::format_backend_servers(hosts));
+                ModelId(), ServiceName("till"), TokenCount(0), Platform::BackendServerState::Live, true });
+    this->platform->set_hosts(Platform::format_backend_servers(servers));
 }
 
 CallerClient TestFleet::caller(std::string const& key) const
--- a/Utilities/hostbench.cpp
+++ b/Utilities/hostbench.cpp
@@ -6,11 +6,11 @@
 
 #include <LibServing/Admission.h>
 #include <LibServing/PeerUse.h>
-#include <LibServing/Reach.h>
+#include <LibServing/Reachability.h>
 #include <benchmark/benchmark.h>
 
-/// What an entry host computes by itself again and again, by the number of hosts and engines of the whole system, which
-/// are spread over five failure domains.
+/// Measures the recurring computations of an entry host, by the number of hosts and engines in the system. These are
+/// spread over five failure domains.
 
 using namespace Serving;
 
@@ -26,17 +26,18 @@
     return Address("10." + std::to_string(host % domain_count) + ".0." + std::to_string(host / domain_count) + ":7200");
 }
 
-/// Host 0 of the first domain, which hears all of its own domain and two hosts of each other one.
-Reach reach_of_host(i64 hosts)
+/// The view of host 0 of the first domain. It receives messages from all hosts of its own domain and from two hosts of
+/// each remote domain.
+Reachability reachability_of_host(i64 hosts)
 {
-    Reach reach(domain_of(0));
+    Reachability reachability(domain_of(0));
     for (i64 host = 1; host < hosts; ++host) {
         KnownHost const known { address_of(host), domain_of(host) };
-        reach.learn(std::span(&known, 1), now);
+        reachability.update_known_hosts(std::span(&known, 1), now);
         if (domain_of(host) == domain_of(0) || host < 2 * domain_count)
-            reach.heard(address_of(host), { domain_of(host), 1s }, now);
+            reachability.record_message(address_of(host), { domain_of(host), 1s }, now);
     }
-    return reach;
+    return reachability;
 }
 
 void add_engines(BackendTable& table, i64 engines)
@@ -54,64 +55,67 @@
     }
 }
 
-/// Which engines this host asks for their reports: once in 350 ms.
+/// Selects the engines that this host polls for reports. Runs every 350 ms.
 void round_of_reports(benchmark::State& state)
 {
-    auto const reach = reach_of_host(state.range(0));
+    auto const reachability = reachability_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     auto const own = address_of(0);
     for (auto _ : state) {
-        size_t mine = 0;
+        size_t responsible = 0;
         for (auto const& backend : table.running())
-            mine += reach.looks_after(own, backend->server.id.value(), backend->server.failure_domain, now) ? 1 : 0;
-        benchmark::DoNotOptimize(mine);
+            responsible
+                += reachability.is_responsible_for(own, backend->server.id.value(), backend->server.failure_domain, now)
+                ? 1
+                : 0;
+        benchmark::DoNotOptimize(responsible);
     }
 }
 
-/// Whether this host reads the platform, and for whom: twenty times a second.
+/// Decides whether this host reads the platform, and for which hosts. Runs 20 times per second.
 void choice_of_reader(benchmark::State& state)
 {
-    auto const reach = reach_of_host(state.range(0));
+    auto const reachability = reachability_of_host(state.range(0));
     auto const own = address_of(0);
     for (auto _ : state) {
-        benchmark::DoNotOptimize(reach.reads_platform(own, now));
-        benchmark::DoNotOptimize(reach.leads_readers(own, now));
-        benchmark::DoNotOptimize(reach.silent_domains(now));
+        benchmark::DoNotOptimize(reachability.reads_platform(own, now));
+        benchmark::DoNotOptimize(reachability.is_leading_reader(own, now));
+        benchmark::DoNotOptimize(reachability.silent_domains(now));
     }
 }
 
-/// One generation's engine.
+/// Chooses the engine for one generation.
 void placement(benchmark::State& state)
 {
-    auto const reach = reach_of_host(state.range(0));
+    auto const reachability = reachability_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     boost::random::mt19937 random(1);
     for (auto _ : state) {
-        ChoiceInputs const inputs { domain_of(0), reach.silent_domains(now), now, 0.3, {}, domain_of(0), 9 };
+        ChoiceInputs const inputs { domain_of(0), reachability.silent_domains(now), now, 0.3, {}, domain_of(0), 9 };
         benchmark::DoNotOptimize(choose_for_generation(table.of_service(ServiceName("models")), {},
             { TokenCount(3000), TokenCount(500) }, TokenCount(33'620), inputs, random));
     }
 }
 
-/// The same with the decision whether it is taken at all.
+/// Decides whether to admit one generation, and chooses its engine.
 void admission(benchmark::State& state)
 {
-    auto const reach = reach_of_host(state.range(0));
+    auto const reachability = reachability_of_host(state.range(0));
     BackendTable table;
     add_engines(table, state.range(1));
     boost::random::mt19937 random(1);
     AdmissionDemand const demand { { TokenCount(3000), TokenCount(500) }, 1800ms };
     for (auto _ : state) {
-        ChoiceInputs const inputs { domain_of(0), reach.silent_domains(now), now, 0.3, {}, domain_of(0), 9 };
+        ChoiceInputs const inputs { domain_of(0), reachability.silent_domains(now), now, 0.3, {}, domain_of(0), 9 };
         benchmark::DoNotOptimize(
             admit(table.of_service(ServiceName("models")), {}, demand, TokenCount(33'620), inputs, random));
     }
 }
 
-/// A whole message of another domain: made there, sent and taken in here. All other domains together send some ten a
-/// second.
+/// Builds, serialises, parses and applies the full state message of a remote domain. All remote domains together send
+/// about ten of these per second.
 void domain_message(benchmark::State& state)
 {
     BackendTable table;
@@ -120,13 +124,13 @@
     OwnUse own(UseScope::Domain);
     size_t bytes = 0;
     for (auto _ : state) {
-        auto message = own.whole(table);
+        auto message = own.full_state(table);
         message.set_domain_speaker("10.1.0.1:7200");
         auto const text = message.SerializeAsString();
         bytes = text.size();
-        wire::HostUse heard;
-        heard.ParseFromString(text);
-        use.heard(MemberId("hall-1"), heard, table, now);
+        wire::HostUse received;
+        received.ParseFromString(text);
+        use.apply(MemberId("hall-1"), received, table, now);
     }
     state.counters["bytes"] = static_cast<double>(bytes);
 }
--- a/Utilities/requestaccount.cpp
+++ b/Utilities/requestaccount.cpp
@@ -12,18 +12,18 @@
 #include <iostream>
 #include <numeric>
 
-DEFINE_uint64(span_ms, 1000, "requests are counted together that were received within so many milliseconds");
-DEFINE_double(repeat_ratio, 0.2, "retries.ratio of the hosts' settings");
-DEFINE_double(repeat_allowance, 50, "retries.allowance of the hosts' settings");
-DEFINE_uint64(repeat_window_ms, 10'000, "retries.window of the hosts' settings, in milliseconds");
-DEFINE_bool(stories, false, "print every line about each generation that was broken off, and why it was");
+DEFINE_uint64(span_ms, 1000, "length of the intervals by which requests are grouped, in milliseconds");
+DEFINE_double(repeat_ratio, 0.2, "value of retries.ratio in the hosts' settings");
+DEFINE_double(repeat_allowance, 50, "value of retries.allowance in the hosts' settings");
+DEFINE_uint64(repeat_window_ms, 10'000, "value of retries.window in the hosts' settings, in milliseconds");
+DEFINE_bool(stories, false, "print all log lines of each interrupted generation, with the reason for the interruption");
 
 struct Accounts {
     Account::RequestAccount requests;
     Account::RepeatAccount repeats;
 };
 
-/// Reads what can be read; says of which lines it cannot.
+/// Reads a log. Skips lines that cannot be parsed and reports them on stderr.
 static void read_log(std::istream& input, std::string const& name, Accounts& accounts)
 {
     size_t number = 0;
@@ -31,10 +31,10 @@
         ++number;
         auto line = Account::parse_log_line(text);
         if (!line)
-            std::cerr << name << ':' << number << ": " << line.error().message << "; it is left out" << std::endl;
+            std::cerr << name << ':' << number << ": " << line.error().message << "; line skipped" << std::endl;
         else if (line.value()) {
-            accounts.repeats.take(*line.value());
-            accounts.requests.take(std::move(*line.value()));
+            accounts.repeats.add(*line.value());
+            accounts.requests.add(std::move(*line.value()));
         }
     }
 }
@@ -66,12 +66,12 @@
     }
 }
 
-static void print_reasons(std::vector<Account::RequestStory> const& stories)
+static void print_reasons(std::vector<Account::RequestTrace> const& traces)
 {
     std::map<std::tuple<std::string, std::string_view, std::string>, u32> counts;
-    for (auto const& story : stories) {
-        if (!story.reason.empty())
-            ++counts[{ story.route, to_string(story.outcome), story.reason }];
+    for (auto const& trace : traces) {
+        if (!trace.reason.empty())
+            ++counts[{ trace.route, to_string(trace.outcome), trace.reason }];
     }
     std::cout << "\n| route | outcome | reason | tries |\n|---|---|---|---|\n";
     for (auto const& [key, count] : counts) {
@@ -80,18 +80,19 @@
     }
 }
 
-/// What bounds a day from outside: more could be served only by engines and servers that do better, or hosts that last.
-static void print_bounds(std::vector<Account::RequestStory> const& stories)
+/// Prints the losses that better decisions of the hosts could not have prevented: the host of a request terminated, or
+/// backend servers failed it.
+static void print_bounds(std::vector<Account::RequestTrace> const& traces)
 {
     auto count = [&](Account::Outcome outcome) {
-        return std::ranges::count(stories, outcome, &Account::RequestStory::outcome);
+        return std::ranges::count(traces, outcome, &Account::RequestTrace::outcome);
     };
-    std::cout << "\nOf " << stories.size() << " tries, the host of " << count(Account::Outcome::HostEnded)
+    std::cout << "\nOf " << traces.size() << " tries, the host of " << count(Account::Outcome::HostTerminated)
               << " ended first, and " << count(Account::Outcome::FailedByServer)
               << " were given a backend server's failure after the tries that their route allows.\n";
 }
 
-/// Of each service the window that came nearest to what all hosts may repeat, or exceeded it by most.
+/// Prints, for each service, the window in which retries came closest to the bound for all hosts, or exceeded it most.
 static void print_repeats(Account::RepeatAccount const& repeats)
 {
     Account::RepeatBound const bound { FLAGS_repeat_ratio, FLAGS_repeat_allowance, FLAGS_repeat_window_ms };
@@ -104,14 +105,14 @@
     }
 }
 
-static void print_stories(std::vector<Account::RequestStory> const& stories)
+static void print_traces(std::vector<Account::RequestTrace> const& traces)
 {
-    for (auto const& story : stories) {
-        if (!story.is_generation || story.outcome != Account::Outcome::BrokenOff)
+    for (auto const& trace : traces) {
+        if (!trace.is_generation || trace.outcome != Account::Outcome::Interrupted)
             continue;
-        std::cout << '\n' << story.id << " at " << story.host << ": " << story.reason << '\n';
-        for (auto const& line : story.lines) {
-            std::cout << "  " << line.milliseconds - story.received_at << " ms E" << static_cast<u32>(line.event);
+        std::cout << '\n' << trace.id << " at " << trace.host << ": " << trace.reason << '\n';
+        for (auto const& line : trace.lines) {
+            std::cout << "  " << line.milliseconds - trace.received_at << " ms E" << static_cast<u32>(line.event);
             for (auto const& [key, value] : line.values) {
                 if (key != "ms" && key != "event" && key != "subject")
                     std::cout << ' ' << key << '=' << value;
@@ -123,8 +124,9 @@
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("[FILE ...]: what became of the requests in hosts' structured logs; - or none for standard "
-                            "input");
+    gflags::SetUsageMessage(
+        "[FILE ...]: reports the outcomes of the requests in hosts' structured logs; reads standard "
+        "input for - or without a FILE");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (FLAGS_span_ms == 0 || FLAGS_repeat_window_ms == 0) {
         std::cerr << "--span_ms and --repeat_window_ms must be at least 1" << std::endl;
@@ -140,19 +142,19 @@
         std::ifstream file(argv[i]);
         all_opened = all_opened && file;
         if (!file)
-            std::cerr << argv[i] << ": cannot be opened; check its name and rights" << std::endl;
+            std::cerr << argv[i] << ": cannot be opened; check its name and permissions" << std::endl;
         read_log(file, argv[i], accounts);
     }
     if (argc == 1)
         read_log(std::cin, "standard input", accounts);
-    auto stories = accounts.requests.stories();
-    if (!stories.empty()) {
-        print_rows(count_by_time(stories, FLAGS_span_ms));
-        print_reasons(stories);
-        print_bounds(stories);
+    auto traces = accounts.requests.traces();
+    if (!traces.empty()) {
+        print_rows(count_by_time(traces, FLAGS_span_ms));
+        print_reasons(traces);
+        print_bounds(traces);
         print_repeats(accounts.repeats);
     }
     if (FLAGS_stories)
-        print_stories(stories);
+        print_traces(traces);
     return all_opened ? 0 : 1;
 }
